--- a/cmd/lilacglade/main.go
+++ b/cmd/lilacglade/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/pflag"
 
-	"lilacglade/internal/legs"
 	"lilacglade/internal/peers"
 	"lilacglade/internal/settings"
+	"lilacglade/internal/transport"
 )
 
 // version is the release; a build may set another with -ldflags "-X main.version=...".
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	options := legs.Options{}
+	options := transport.Options{}
 	if *peersFile != "" {
 		cfg, err := peers.Load(*peersFile, node.Name)
 		if err != nil {
@@ -99,19 +99,19 @@
 	if *trace {
 		options.Trace = func(line string) { log.Print(line) }
 	}
-	return legs.ServeBy(ctx, node, reloads(hups, getenv, node), options)
+	return transport.ServeBy(ctx, node, reloads(hups, getenv, node), options)
 }
 
 // reloads reads the configuration again at each SIGHUP. One that can't be served changes nothing.
-func reloads(hups <-chan os.Signal, getenv func(string) string, inForce settings.Node) <-chan legs.Load {
-	out := make(chan legs.Load)
+func reloads(hups <-chan os.Signal, getenv func(string) string, inForce settings.Node) <-chan transport.Load {
+	out := make(chan transport.Load)
 	go func() {
 		for range hups {
 			node, err := settings.Reload(getenv, inForce)
 			if err == nil {
 				inForce = node
 			}
-			out <- legs.Load{Node: node, Err: err}
+			out <- transport.Load{Node: node, Err: err}
 		}
 	}()
 	return out
--- a/cmd/lilalab/sockets.go
+++ b/cmd/lilalab/sockets.go
@@ -14,9 +14,9 @@
 
 	"lilacglade/internal/lab/sockets"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/legs"
 	"lilacglade/internal/settings"
 	"lilacglade/internal/textbook"
+	"lilacglade/internal/transport"
 	"lilacglade/internal/world"
 )
 
@@ -80,15 +80,15 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			reloads := make(chan legs.Load)
+			reloads := make(chan transport.Load)
 			go func() {
 				for range hups {
 					if n, err := settings.Reload(os.Getenv, node); err == nil {
-						reloads <- legs.Load{Node: n}
+						reloads <- transport.Load{Node: n}
 					}
 				}
 			}()
-			return legs.ServeBy(ctx, node, reloads, legs.Options{Decider: decider})
+			return transport.ServeBy(ctx, node, reloads, transport.Options{Decider: decider})
 		}}
 	c.Flags().StringVar(&policy, "policy", "", "the policy")
 	return c
--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -78,14 +78,14 @@
 // wallClockFiles are the files of the program that may have some, and why none of them measures a span by
 // it.
 var wallClockFiles = map[string]string{
-	"internal/legs/observe.go":      "logs that the wall clock was stepped",
-	"internal/legs/raw.go":          "deadlines of the standard library's connections, by its monotonic clock",
-	"internal/legs/flow.go":         "the same",
-	"internal/legs/transfer.go":     "the same",
-	"internal/peers/link.go":        "the same",
-	"cmd/lilacglade/work.go":        "the same",
-	"internal/serverlist/starts.go": "the epoch of start times, which discovery tells in Unix time",
-	"internal/agree/disk.go":        "names of files that are set aside",
+	"internal/transport/observe.go":  "logs that the wall clock was stepped",
+	"internal/transport/raw.go":      "deadlines of the standard library's connections, by its monotonic clock",
+	"internal/transport/flow.go":     "the same",
+	"internal/transport/transfer.go": "the same",
+	"internal/peers/link.go":         "the same",
+	"cmd/lilacglade/work.go":         "the same",
+	"internal/serverlist/starts.go":  "the epoch of start times, which discovery tells in Unix time",
+	"internal/agree/disk.go":         "names of files that are set aside",
 }
 
 // TestNoSpanByTheWallClock guards against what broke on 2026-12-02 (docs/incidents): a span of time that a
--- a/internal/legs/observe.go
+++ b/internal/transport/observe.go
@@ -1,4 +1,4 @@
-package legs
+package transport
 
 import (
 	"errors"
@@ -87,7 +87,7 @@
 	if d, ok := item.(document); ok {
 		return fmt.Sprintf("a document of the server list, %d bytes", d.bytes)
 	}
-	return strings.TrimPrefix(fmt.Sprintf("%T", item), "legs.")
+	return strings.TrimPrefix(fmt.Sprintf("%T", item), "transport.")
 }
 
 // called takes in the end of a call to discovery. A fault is logged when it begins, when it changes, and
--- a/internal/legs/proxy.go
+++ b/internal/transport/proxy.go
@@ -1,7 +1,7 @@
-// Package legs is the proxy's sockets: it turns bytes into the reducer's events and carries
+// Package transport is the proxy's sockets: it turns bytes into the reducer's events and carries
 // out the effects that the reducer asks for. One goroutine runs the reducer and never waits
 // for a socket; reading, writing and dialing happen round it, on netpoll.
-package legs
+package transport
 
 import (
 	"context"
--- a/internal/legs/rig.go
+++ b/internal/transport/rig.go
@@ -1,6 +1,6 @@
 //go:build rig
 
-package legs
+package transport
 
 import (
 	"os"
--- a/internal/legs/work_test.go
+++ b/internal/transport/work_test.go
@@ -1,4 +1,4 @@
-package legs
+package transport
 
 import (
 	"testing"
