--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,7 +18,7 @@
 	"github.com/cloudwego/netpoll"
 
 	lg "lilacglade"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/sendguard"
 	"lilacglade/internal/transient"
 )
@@ -37,7 +37,7 @@
 	// Work answers what follows the word WORK in a call; nil: there is no such call. It may wait for other
 	// proxies, so it is owed within some seconds only. It is set before Listen.
 	Work    func(call string) []byte
-	figures atomic.Pointer[proxystate.Figures]
+	figures atomic.Pointer[reducer.Figures]
 
 	mu    sync.Mutex
 	conns []*guest // oldest first
@@ -52,7 +52,7 @@
 }
 
 // Show has the figures shown from now on. They must not change any more.
-func (d *Door) Show(f *proxystate.Figures) { d.figures.Store(f) }
+func (d *Door) Show(f *reducer.Figures) { d.figures.Store(f) }
 
 type guestKey struct{}
 
@@ -179,7 +179,7 @@
 }
 
 // Answer words the answer to a call.
-func Answer(call string, f *proxystate.Figures) []byte {
+func Answer(call string, f *reducer.Figures) []byte {
 	switch {
 	case call != "HEALTH" && call != "DUMP":
 		return []byte("-ERR unknown call; known are HEALTH and DUMP\n")
@@ -197,7 +197,7 @@
 const prefix = "node_"
 
 // Dump words the figures, a line each.
-func Dump(f *proxystate.Figures) []byte {
+func Dump(f *reducer.Figures) []byte {
 	var out []byte
 	line := func(name string, n uint64) {
 		out = append(out, prefix...)
@@ -223,7 +223,7 @@
 		line("attempts{result="+strconv.Quote(lg.Result(result).String())+"}", n)
 	}
 	for cause, n := range f.Closes {
-		line("client_closes{cause="+strconv.Quote(proxystate.CloseCause(cause).String())+"}", n)
+		line("client_closes{cause="+strconv.Quote(reducer.CloseCause(cause).String())+"}", n)
 	}
 	for rule, n := range f.Violations {
 		if rule := sendguard.Rule(rule); rule != sendguard.None {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -5,21 +5,21 @@
 	"testing"
 	"time"
 
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/sendguard"
 )
 
 // TestWireNames holds the names and forms that operators' tools read.
 func TestWireNames(t *testing.T) {
-	f := &proxystate.Figures{Ready: true, InProgress: 14, Tries: 5, Known: 12, Skipped: 2,
+	f := &reducer.Figures{Ready: true, InProgress: 14, Tries: 5, Known: 12, Skipped: 2,
 		Loads: 3, LoadErrors: 1, Attempts: [9]uint64{811, 1}, Closes: [6]uint64{9, 8, 7, 6, 5, 4},
-		Sockets: proxystate.SocketFigures{CallsAnswered: 31, CallsFailed: 2, Unwritten: 1, ClockSteps: 3,
+		Sockets: reducer.SocketFigures{CallsAnswered: 31, CallsFailed: 2, Unwritten: 1, ClockSteps: 3,
 			SlowEvents: 4, LongestEvent: 72 * time.Millisecond, LongestQueued: 1500,
 			LongestList: 71 * time.Millisecond},
-		List: proxystate.ListFigures{Heard: true, Unheard: 7 * time.Second, LongestUnsent: 2 * time.Second,
+		List: reducer.ListFigures{Heard: true, Unheard: 7 * time.Second, LongestUnsent: 2 * time.Second,
 			Failed: 3, Outdated: 6, Lapses: 4, Withheld: 8},
 		Violations: sendguard.Counts{sendguard.Drained: 2},
-		Handled:    []proxystate.Handled{{Class: `a"b`, Passed: 812, Dropped: 7, BadGateway: 1}}}
+		Handled:    []reducer.Handled{{Class: `a"b`, Passed: 812, Dropped: 7, BadGateway: 1}}}
 	want := `+OK
 node_handled{category="a\"b",outcome="passed"} 812
 node_handled{category="a\"b",outcome="dropped"} 7
@@ -76,10 +76,10 @@
 }
 
 func TestAnswers(t *testing.T) {
-	ready, not := &proxystate.Figures{Ready: true}, &proxystate.Figures{}
+	ready, not := &reducer.Figures{Ready: true}, &reducer.Figures{}
 	for _, tc := range []struct {
 		call string
-		f    *proxystate.Figures
+		f    *reducer.Figures
 		want string
 	}{
 		{"HEALTH", ready, "+OK"}, {"HEALTH", not, "-ERR"}, {"HEALTH", nil, "-ERR"}, {"DUMP", nil, "-ERR"},
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -7,7 +7,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/world"
 )
 
@@ -28,7 +28,7 @@
 
 // timed measures a decider.
 type timed struct {
-	proxystate.Decider
+	reducer.Decider
 	spent time.Duration
 }
 
@@ -42,16 +42,16 @@
 // rig drives one reducer without a world: every dial comes up, every request is answered with a
 // load report, all in virtual time.
 type rig struct {
-	state   *proxystate.State
+	state   *reducer.State
 	now     time.Duration
 	armed   time.Duration
-	queue   []proxystate.Event
+	queue   []reducer.Event
 	longest time.Duration
 	answers int
 }
 
 // step takes an event and all that follows from it.
-func (r *rig) step(ev proxystate.Event) {
+func (r *rig) step(ev reducer.Event) {
 	r.queue = append(r.queue[:0], ev)
 	for i := 0; i < len(r.queue); i++ {
 		began := time.Now()
@@ -59,17 +59,17 @@
 		r.longest = max(r.longest, time.Since(began))
 		for _, e := range effects {
 			switch e.Do {
-			case proxystate.Arm:
+			case reducer.Arm:
 				r.armed = e.At
-			case proxystate.Dial:
-				r.queue = append(r.queue, proxystate.HopDialed{Leg: e.Leg, OK: true})
-			case proxystate.Forward:
+			case reducer.Dial:
+				r.queue = append(r.queue, reducer.HopDialed{Leg: e.Leg, OK: true})
+			case reducer.Forward:
 				load := lg.LoadReport{N: 2, Values: [4]float64{float64(2 + e.Leg%5), 20}}
-				r.queue = append(r.queue, proxystate.HopWritten{Leg: e.Leg, OK: true},
-					proxystate.HopAnswered{Leg: e.Leg, Result: lg.OK, Load: load, Keep: true})
-			case proxystate.AnswerCaller:
+				r.queue = append(r.queue, reducer.HopWritten{Leg: e.Leg, OK: true},
+					reducer.HopAnswered{Leg: e.Leg, Result: lg.OK, Load: load, Keep: true})
+			case reducer.AnswerCaller:
 				r.answers++
-				r.queue = append(r.queue, proxystate.CallerWritten{Leg: e.Leg, OK: true})
+				r.queue = append(r.queue, reducer.CallerWritten{Leg: e.Leg, OK: true})
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	for r.armed > 0 && r.armed <= at {
 		r.now = max(r.now, r.armed)
 		r.armed = 0
-		r.step(proxystate.Woken{})
+		r.step(reducer.Woken{})
 	}
 	r.now = at
 }
@@ -107,7 +107,7 @@
 	}
 	decider := &timed{Decider: module}
 	r := &rig{now: 24 * time.Hour}
-	r.state, err = proxystate.New(proxystate.Config{Settings: set, Seed: 1, MaxCallers: 600,
+	r.state, err = reducer.New(reducer.Config{Settings: set, Seed: 1, MaxCallers: 600,
 		MaxHops: max(400, 2*servers), IdleHops: 15 * time.Second, Decider: decider})
 	if err != nil {
 		return c, err
@@ -117,18 +117,18 @@
 	runtime.ReadMemStats(&before)
 	list := costServers(servers, 0)
 	began := time.Now()
-	r.step(proxystate.ListTold{List: lg.List{Kind: lg.FullList, Servers: list}})
+	r.step(reducer.ListTold{List: lg.List{Kind: lg.FullList, Servers: list}})
 	c.FullList = time.Since(began)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	c.MemoryServer = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(servers)
 	const legs = 50
 	for i := range legs {
-		r.step(proxystate.CallerOpened{Leg: proxystate.LegID(i + 1)})
+		r.step(reducer.CallerOpened{Leg: reducer.LegID(i + 1)})
 	}
 	ask := func(i int) {
 		r.until(r.now + 2*time.Millisecond)
-		r.step(proxystate.CallerAsked{Leg: proxystate.LegID(i%legs + 1), Name: fmt.Sprint("r", i), Class: i % 2,
+		r.step(reducer.CallerAsked{Leg: reducer.LegID(i%legs + 1), Name: fmt.Sprint("r", i), Class: i % 2,
 			Key: uint64(i%997) * 0x9e3779b97f4a7c15, HasKey: true, Deadline: r.now + time.Second})
 	}
 	warm := max(1000, servers)
@@ -156,7 +156,7 @@
 	for i := range changes {
 		one := list[i%servers]
 		one.State = lg.Draining
-		r.step(proxystate.ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{one}}})
+		r.step(reducer.ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{one}}})
 	}
 	c.OneChange = time.Since(began) / changes
 	return c, nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,7 +10,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/world"
 )
 
@@ -119,7 +119,7 @@
 }
 
 // forgetful drops the answers of one class: the search must find and shrink that.
-type forgetful struct{ proxystate.Decider }
+type forgetful struct{ reducer.Decider }
 
 func (f forgetful) Handle(now time.Duration, ev lg.Event) []lg.Action {
 	if r, ok := ev.(lg.Request); ok && r.Class == 1 && r.Key%16 == 0 {
@@ -130,15 +130,15 @@
 
 func TestSearchFindsAndShrinks(t *testing.T) {
 	s := Search{Seed: 3, Short: true, Options: func(o *virtual.Options) {
-		o.Decider = func(set lg.Settings, seed uint64) (proxystate.Decider, error) {
+		o.Decider = func(set lg.Settings, seed uint64) (reducer.Decider, error) {
 			b, err := lg.New(set, seed)
 			return forgetful{b}, err
 		}
-		o.Tamper = func(_ int, e proxystate.Effect) []proxystate.Effect {
-			if e.Do == proxystate.AnswerCaller && e.Verdict == proxystate.Busy {
+		o.Tamper = func(_ int, e reducer.Effect) []reducer.Effect {
+			if e.Do == reducer.AnswerCaller && e.Verdict == reducer.Busy {
 				return nil // the reducer answers at the deadline; without that the request is lost
 			}
-			return []proxystate.Effect{e}
+			return []reducer.Effect{e}
 		}
 	}}
 	var found *Find
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -8,7 +8,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/pool"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/textbook"
 	"lilacglade/internal/world"
@@ -26,12 +26,12 @@
 	Follow uint64 // number of a request to trace, 0 for none
 	Pool   string // one of Pools; the proxy's own where empty
 	// Decider makes a proxy's decider in place of Policy, for tests.
-	Decider func(set lg.Settings, seed uint64) (proxystate.Decider, error)
+	Decider func(set lg.Settings, seed uint64) (reducer.Decider, error)
 	// Tamper changes or drops what a proxy does, for tests of the judge: it gets each effect and
 	// returns the ones to carry out.
-	Tamper func(proxy int, e proxystate.Effect) []proxystate.Effect
+	Tamper func(proxy int, e reducer.Effect) []reducer.Effect
 	// Deafen tells, for tests of the judge, which events a proxy does not hear.
-	Deafen func(proxy int, ev proxystate.Event) bool
+	Deafen func(proxy int, ev reducer.Event) bool
 	// Unguarded has proxies send what breaks a rule, for tests of the judge.
 	Unguarded bool
 	// Progress hears of the virtual time reached, now and then.
@@ -129,12 +129,12 @@
 	sim       *Sim
 	id        int
 	life      int // counts its processes
-	state     *proxystate.State
+	state     *reducer.State
 	busy      time.Duration // its processor is, until then
 	armed     int           // counts what Arm asked for; older ones do nothing
-	callers   map[proxystate.LegID]*callerLeg
-	hops      map[proxystate.LegID]*hopLeg
-	last      proxystate.LegID
+	callers   map[reducer.LegID]*callerLeg
+	hops      map[reducer.LegID]*hopLeg
+	last      reducer.LegID
 	addresses map[lg.ServerID]int
 	version   uint64
 	watch     *world.Lookup
@@ -145,14 +145,14 @@
 }
 
 type callerLeg struct {
-	id   proxystate.LegID
+	id   reducer.LegID
 	leg  *world.Leg
 	ask  *world.Ask
 	part bool
 }
 
 type hopLeg struct {
-	id     proxystate.LegID
+	id     reducer.LegID
 	server lg.ServerID
 	hop    *world.Hop
 	open   bool // it has come up
@@ -161,8 +161,8 @@
 }
 
 // decider makes what a proxy decides by.
-func (s *Sim) decider(n *node, set lg.Settings, seed uint64) (proxystate.Decider, error) {
-	var d proxystate.Decider
+func (s *Sim) decider(n *node, set lg.Settings, seed uint64) (reducer.Decider, error) {
+	var d reducer.Decider
 	var err error
 	switch {
 	case s.opt.Decider != nil:
@@ -196,28 +196,28 @@
 	}
 	callers, hops := budget(s.sc.Proxies.Sockets)
 	n.address = s.world.DiscoveryAddress()
-	n.state, err = proxystate.New(proxystate.Config{Settings: set, Seed: seed, MaxCallers: callers,
+	n.state, err = reducer.New(reducer.Config{Settings: set, Seed: seed, MaxCallers: callers,
 		Unguarded: s.opt.Unguarded,
 		MaxHops:   hops,
 		IdleHops:  s.sc.Servers.KeepAlive / 4, Discovery: n.address, Decider: d, Pool: Pools[s.opt.Pool]})
 	if err != nil {
 		return err
 	}
-	n.callers, n.hops = map[proxystate.LegID]*callerLeg{}, map[proxystate.LegID]*hopLeg{}
+	n.callers, n.hops = map[reducer.LegID]*callerLeg{}, map[reducer.LegID]*hopLeg{}
 	n.addresses, n.version, n.stopping, n.busy = map[lg.ServerID]int{}, 0, false, 0
 	n.ids = map[lg.RequestID]bool{}
 	list := n.list(s.world.Known(i))
 	list.Kind = lg.CachedList
-	n.post(proxystate.ListTold{List: list})
+	n.post(reducer.ListTold{List: list})
 	s.world.ProxyReady(i)
 	return nil
 }
 
 // post has an event taken when the node's processor comes to it.
-func (n *node) post(ev proxystate.Event) { n.postFor(nil, ev) }
+func (n *node) post(ev reducer.Event) { n.postFor(nil, ev) }
 
 // postFor posts an event that belongs to a request.
-func (n *node) postFor(ask *world.Ask, ev proxystate.Event) {
+func (n *node) postFor(ask *world.Ask, ev reducer.Event) {
 	w := n.sim.world
 	at := max(w.Clock.Now(), n.busy)
 	n.busy = at + n.sim.sc.Proxies.Step
@@ -230,11 +230,11 @@
 	})
 }
 
-func (n *node) step(ask *world.Ask, ev proxystate.Event) {
+func (n *node) step(ask *world.Ask, ev reducer.Event) {
 	if n.sim.opt.Deafen != nil && n.sim.opt.Deafen(n.id, ev) {
 		return
 	}
-	if q, ok := ev.(proxystate.CallerQuiet); ok && (n.callers[q.Leg] == nil || n.callers[q.Leg].ask != nil) {
+	if q, ok := ev.(reducer.CallerQuiet); ok && (n.callers[q.Leg] == nil || n.callers[q.Leg].ask != nil) {
 		return // something has come meanwhile
 	}
 	w := n.sim.world
@@ -255,12 +255,12 @@
 }
 
 // brief leaves payloads out of what a trace shows.
-func brief(ev proxystate.Event) any {
+func brief(ev reducer.Event) any {
 	switch ev := ev.(type) {
-	case proxystate.CallerAsked:
+	case reducer.CallerAsked:
 		ev.Payload = nil
 		return ev
-	case proxystate.HopAnswered:
+	case reducer.HopAnswered:
 		ev.Payload = nil
 		return ev
 	}
@@ -268,14 +268,14 @@
 }
 
 // effects names what an effect asks for, in traces.
-var effects = map[proxystate.Do]string{proxystate.AnswerCaller: "AnswerCaller", proxystate.Dial: "Dial",
-	proxystate.Forward: "Forward", proxystate.CloseHop: "CloseHop"}
+var effects = map[reducer.Do]string{reducer.AnswerCaller: "AnswerCaller", reducer.Dial: "Dial",
+	reducer.Forward: "Forward", reducer.CloseHop: "CloseHop"}
 
-func (n *node) carryOut(e proxystate.Effect) {
+func (n *node) carryOut(e reducer.Effect) {
 	w := n.sim.world
 	w.LogEffect(n.id, uint64(e.Do), uint64(e.Leg), uint64(e.Server))
 	switch e.Do {
-	case proxystate.AnswerCaller:
+	case reducer.AnswerCaller:
 		c := n.callers[e.Leg]
 		if c == nil {
 			return
@@ -287,64 +287,64 @@
 		}
 		ans := world.Answer{RetryAfter: e.Advice, Last: e.Last}
 		switch e.Verdict {
-		case proxystate.Served:
+		case reducer.Served:
 			ans.Status = 200
 			if r, ok := e.Payload.(*world.Reply); ok {
 				ans.Token = r.Attempt.Ask.Token()
 			}
-		case proxystate.Busy:
+		case reducer.Busy:
 			ans.Status = 503
-		case proxystate.Late:
+		case reducer.Late:
 			ans.Status = 504
 		default:
 			ans.Status = 502
 		}
 		w.Clock.At(w.Clock.Now(), func() { w.Answered(c.leg, ans) })
-		n.postFor(ask, proxystate.CallerWritten{Leg: e.Leg, OK: true})
-	case proxystate.EaseCaller:
-		n.post(proxystate.CallerQuiet{Leg: e.Leg})
-	case proxystate.TellCallers:
-		n.post(proxystate.CallersTold{})
-	case proxystate.PartCaller:
+		n.postFor(ask, reducer.CallerWritten{Leg: e.Leg, OK: true})
+	case reducer.EaseCaller:
+		n.post(reducer.CallerQuiet{Leg: e.Leg})
+	case reducer.TellCallers:
+		n.post(reducer.CallersTold{})
+	case reducer.PartCaller:
 		if c := n.callers[e.Leg]; c != nil {
 			c.part = true
 			w.Clock.At(w.Clock.Now(), func() { w.Closed(c.leg) })
 		}
-	case proxystate.CloseCaller:
+	case reducer.CloseCaller:
 		if c := n.callers[e.Leg]; c != nil {
 			delete(n.callers, e.Leg)
 			c.leg.Data = nil
 			w.Clock.At(w.Clock.Now(), func() { w.Closed(c.leg) })
 		}
-	case proxystate.Dial:
+	case reducer.Dial:
 		n.dial(e)
-	case proxystate.Forward:
+	case reducer.Forward:
 		n.forward(e)
-	case proxystate.CloseHop:
+	case reducer.CloseHop:
 		if h := n.hops[e.Leg]; h != nil {
 			n.close(h)
 		}
-	case proxystate.Arm:
+	case reducer.Arm:
 		n.armed++
 		mine, life := n.armed, n.life
 		w.Clock.At(e.At-longAgo, func() {
 			if n.armed == mine && n.life == life {
-				n.post(proxystate.Woken{})
+				n.post(reducer.Woken{})
 			}
 		})
-	case proxystate.Watch:
+	case reducer.Watch:
 		n.ask(e.Text, e.At-longAgo, e.GiveUp-longAgo)
-	case proxystate.Finish:
+	case reducer.Finish:
 		n.end(false)
 	}
 }
 
 // dial opens a hop leg; it must be up by the effect's time.
-func (n *node) dial(e proxystate.Effect) {
+func (n *node) dial(e reducer.Effect) {
 	w := n.sim.world
 	at, ok := n.addresses[e.Server]
 	if !ok {
-		n.post(proxystate.HopDialed{Leg: e.Leg})
+		n.post(reducer.HopDialed{Leg: e.Leg})
 		return
 	}
 	if w.Followed(n.asked) {
@@ -357,12 +357,12 @@
 	w.Clock.At(e.At-longAgo, func() {
 		if n.life == life && n.hops[h.id] == h && !h.open {
 			n.close(h)
-			n.post(proxystate.HopDialed{Leg: h.id})
+			n.post(reducer.HopDialed{Leg: h.id})
 		}
 	})
 }
 
-func (n *node) forward(e proxystate.Effect) {
+func (n *node) forward(e reducer.Effect) {
 	w := n.sim.world
 	ask, ok := e.Payload.(*world.Ask)
 	h := n.hops[e.Leg]
@@ -373,12 +373,12 @@
 		w.Tracef("effect   proxy %d: Forward on hop leg %d until %v", n.id, e.Leg, e.At-longAgo)
 	}
 	if h == nil || h.stray {
-		n.postFor(ask, proxystate.HopUnfit{Leg: e.Leg})
+		n.postFor(ask, reducer.HopUnfit{Leg: e.Leg})
 		return
 	}
 	h.busy = true
 	w.Forward(h.hop, ask)
-	n.postFor(ask, proxystate.HopWritten{Leg: e.Leg, OK: true})
+	n.postFor(ask, reducer.HopWritten{Leg: e.Leg, OK: true})
 }
 
 func (n *node) close(h *hopLeg) {
@@ -406,7 +406,7 @@
 		if n.life == life && n.watch == c {
 			n.watch = nil
 			w.GiveUp(c)
-			n.post(proxystate.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
+			n.post(reducer.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
 		}
 	})
 }
@@ -464,7 +464,7 @@
 	c := &callerLeg{id: n.last, leg: l}
 	l.Data = c
 	n.callers[c.id] = c
-	n.post(proxystate.CallerOpened{Leg: c.id})
+	n.post(reducer.CallerOpened{Leg: c.id})
 	s.world.Clock.At(s.world.Clock.Now(), func() { s.world.Dialed(l, true) })
 }
 
@@ -476,7 +476,7 @@
 		return // what closed it is on its way
 	}
 	c.ask = a
-	n.postFor(a, proxystate.CallerAsked{Leg: c.id, Name: a.Name, Class: a.Call.Class, Tenant: a.Call.Tenant,
+	n.postFor(a, reducer.CallerAsked{Leg: c.id, Name: a.Name, Class: a.Call.Class, Tenant: a.Call.Tenant,
 		Key: a.Call.Key, HasKey: a.Call.Key != 0, Deadline: longAgo + a.GiveUp, Repeat: a.Repeat, Payload: a})
 }
 
@@ -489,7 +489,7 @@
 	}
 	l.Data = nil
 	delete(n.callers, c.id)
-	n.postFor(c.ask, proxystate.CallerClosed{Leg: c.id})
+	n.postFor(c.ask, reducer.CallerClosed{Leg: c.id})
 }
 
 // hop finds the leg of a connection, unless the proxy has closed it or is gone.
@@ -512,7 +512,7 @@
 	if !ok {
 		delete(n.hops, l.id)
 	}
-	n.post(proxystate.HopDialed{Leg: l.id, OK: ok})
+	n.post(reducer.HopDialed{Leg: l.id, OK: ok})
 }
 
 // Answer brings a server's answer.
@@ -524,11 +524,11 @@
 	ask := r.Attempt.Ask
 	if !l.busy {
 		l.stray = true
-		n.post(proxystate.HopStray{Leg: l.id})
+		n.post(reducer.HopStray{Leg: l.id})
 		return
 	}
 	l.busy = false
-	ev := proxystate.HopAnswered{Leg: l.id, Result: lg.OK, Payload: r, Keep: !r.Last}
+	ev := reducer.HopAnswered{Leg: l.id, Result: lg.OK, Payload: r, Keep: !r.Last}
 	switch r.Kind {
 	case world.Failed:
 		ev.Result = lg.ServerError
@@ -554,10 +554,10 @@
 	}
 	delete(n.hops, l.id)
 	if !l.open {
-		n.post(proxystate.HopDialed{Leg: l.id})
+		n.post(reducer.HopDialed{Leg: l.id})
 		return
 	}
-	n.post(proxystate.HopClosed{Leg: l.id})
+	n.post(reducer.HopClosed{Leg: l.id})
 }
 
 // Tell brings discovery's answer.
@@ -568,11 +568,11 @@
 	}
 	n.watch = nil
 	if d == nil {
-		n.post(proxystate.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
+		n.post(reducer.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
 		return
 	}
 	list := n.list(d)
-	n.post(proxystate.ListTold{List: list, Whole: n.version == 0})
+	n.post(reducer.ListTold{List: list, Whole: n.version == 0})
 }
 
 // Moved has a proxy reload.
@@ -582,7 +582,7 @@
 		return
 	}
 	callers, hops := budget(s.sc.Proxies.Sockets)
-	n.post(proxystate.Reloaded{Discovery: s.world.DiscoveryAddress(), MaxCallers: callers, MaxHops: hops})
+	n.post(reducer.Reloaded{Discovery: s.world.DiscoveryAddress(), MaxCallers: callers, MaxHops: hops})
 }
 
 // killAfter is how long a planned stop may take beyond the longest deadline.
@@ -599,7 +599,7 @@
 		return
 	}
 	n.stopping = true
-	n.post(proxystate.Stopping{})
+	n.post(reducer.Stopping{})
 	longest := 3 * time.Second
 	for _, c := range s.sc.Classes {
 		longest = max(longest, c.Deadline)
@@ -624,7 +624,7 @@
 
 // followed shows a decider's events and actions for the request that is traced.
 type followed struct {
-	proxystate.Decider
+	reducer.Decider
 	node *node
 }
 
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/world"
 )
 
@@ -132,8 +132,8 @@
 		want    world.Rule
 		sc      *world.Scenario
 		decider *blind
-		tamper  func(proxy int, e proxystate.Effect) []proxystate.Effect
-		deafen  func(proxy int, ev proxystate.Event) bool
+		tamper  func(proxy int, e reducer.Effect) []reducer.Effect
+		deafen  func(proxy int, ev reducer.Event) bool
 	}{
 		{name: "an unsafe request sent again after a reset", want: world.RuleTwice, sc: small(hang),
 			decider: &blind{again: again}},
@@ -143,52 +143,52 @@
 			return sc
 		}(), decider: &blind{again: again}},
 		{name: "a server that drains is still sent to", want: world.RuleDrain, sc: small(rolling),
-			deafen: func(_ int, ev proxystate.Event) bool {
-				told, ok := ev.(proxystate.ListTold)
+			deafen: func(_ int, ev reducer.Event) bool {
+				told, ok := ev.(reducer.ListTold)
 				return ok && told.List.Kind == lg.Changes && len(told.List.Servers) > 0
 			}},
 		{name: "a refusal of what may have run", want: world.RuleRefused, sc: small(hang),
-			decider: &blind{}, tamper: func(_ int, e proxystate.Effect) []proxystate.Effect {
-				if e.Do == proxystate.AnswerCaller && e.Verdict != proxystate.Served {
-					e.Verdict = proxystate.Busy
+			decider: &blind{}, tamper: func(_ int, e reducer.Effect) []reducer.Effect {
+				if e.Do == reducer.AnswerCaller && e.Verdict != reducer.Served {
+					e.Verdict = reducer.Busy
 				}
-				return []proxystate.Effect{e}
+				return []reducer.Effect{e}
 			}},
 		{name: "an answer that is never written", want: world.RuleLost, sc: small(),
-			tamper: func(_ int, e proxystate.Effect) []proxystate.Effect {
-				if e.Do == proxystate.AnswerCaller && e.Leg%7 == 0 {
+			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
+				if e.Do == reducer.AnswerCaller && e.Leg%7 == 0 {
 					return nil
 				}
-				return []proxystate.Effect{e}
+				return []reducer.Effect{e}
 			}},
 		{name: "an answer that no server made", want: world.RuleLost, sc: small(), decider: &blind{
 			arrive: func(_ *blind, ev lg.Request) []lg.Action { return []lg.Action{{Do: lg.Fail, Request: ev.ID}} }},
-			tamper: func(_ int, e proxystate.Effect) []proxystate.Effect {
-				if e.Do == proxystate.AnswerCaller {
-					e.Verdict = proxystate.Served
+			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
+				if e.Do == reducer.AnswerCaller {
+					e.Verdict = reducer.Served
 				}
-				return []proxystate.Effect{e}
+				return []reducer.Effect{e}
 			}},
 		{name: "two answers", want: world.RuleLost, sc: small(),
-			tamper: func(_ int, e proxystate.Effect) []proxystate.Effect {
-				if e.Do == proxystate.AnswerCaller {
-					return []proxystate.Effect{e, e}
+			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
+				if e.Do == reducer.AnswerCaller {
+					return []reducer.Effect{e, e}
 				}
-				return []proxystate.Effect{e}
+				return []reducer.Effect{e}
 			}},
 		{name: "two branches at once", want: world.RuleAtOnce, sc: small(),
-			tamper: func() func(int, proxystate.Effect) []proxystate.Effect {
+			tamper: func() func(int, reducer.Effect) []reducer.Effect {
 				legs := map[[2]uint64]bool{}
-				return func(p int, e proxystate.Effect) []proxystate.Effect {
-					if e.Do != proxystate.Forward {
-						return []proxystate.Effect{e}
+				return func(p int, e reducer.Effect) []reducer.Effect {
+					if e.Do != reducer.Forward {
+						return []reducer.Effect{e}
 					}
 					legs[[2]uint64{uint64(p), uint64(e.Leg)}] = true
-					out := []proxystate.Effect{e}
+					out := []reducer.Effect{e}
 					for k := range legs {
 						if k[0] == uint64(p) && k[1] != uint64(e.Leg) {
 							o := e
-							o.Leg = proxystate.LegID(k[1])
+							o.Leg = reducer.LegID(k[1])
 							return append(out, o)
 						}
 					}
@@ -213,7 +213,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			opt := Options{Tamper: tc.tamper, Deafen: tc.deafen, Unguarded: true}
 			if tc.decider != nil {
-				opt.Decider = func(lg.Settings, uint64) (proxystate.Decider, error) {
+				opt.Decider = func(lg.Settings, uint64) (reducer.Decider, error) {
 					d := *tc.decider
 					return &d, nil
 				}
--- a/internal/proxystate/closes.go
+++ b/internal/reducer/closes.go
@@ -1,4 +1,4 @@
-package proxystate
+package reducer
 
 // CloseCause is why a client's connection was ended, or that its client ended it.
 type CloseCause uint8
--- a/internal/proxystate/events.go
+++ b/internal/reducer/events.go
@@ -1,9 +1,9 @@
-// Package proxystate is the proxy's one reducer: every change of its state is a Step that
+// Package reducer is the proxy's one reducer: every change of its state is a Step that
 // takes an event and the absolute time and returns the effects to carry out, in their order.
 // It owns the Balancer, the requests, their branches, both kinds of leg, the pools and all
 // deadlines. It does no I/O, reads no clock, starts no goroutine and knows no protocol: what
 // a request and an answer look like is opaque to it.
-package proxystate
+package reducer
 
 import (
 	"time"
--- a/internal/proxystate/streams.go
+++ b/internal/reducer/streams.go
@@ -1,4 +1,4 @@
-package proxystate
+package reducer
 
 import lg "lilacglade"
 
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 )
 
 // readCaller looks for the next request on a caller leg. Requests are taken one at a time. Cut
@@ -19,7 +19,7 @@
 		// first is still answered.
 		if cut || g.parser.Held() > heldWhileBusy {
 			g.deaf.Store(true)
-			p.step(proxystate.CallerFlooding{Leg: g.id})
+			p.step(reducer.CallerFlooding{Leg: g.id})
 		}
 		return
 	}
@@ -47,7 +47,7 @@
 		if g.parser.Head() && g.headAt.IsZero() {
 			g.headAt = g.read
 		}
-		ev := proxystate.CallerReading{Leg: g.id}
+		ev := reducer.CallerReading{Leg: g.id}
 		if !g.headAt.IsZero() {
 			ev.Took = time.Duration(g.parser.Came()) * time.Second / uploadRate
 			ev.By = p.at(g.headAt) + uploadGrace + ev.Took
@@ -67,11 +67,11 @@
 }
 
 // asked words a request's event. Guards against refusing what was on its way when its class was dropped.
-func (p *proxy) asked(g *leg, m *http1.Message) proxystate.Event {
+func (p *proxy) asked(g *leg, m *http1.Message) reducer.Event {
 	read := p.at(g.read)
 	ev := asked(&p.set, read < p.stale, g.id, m, read-g.late)
 	g.late = 0
-	if ask, ok := ev.(proxystate.CallerAsked); ok {
+	if ask, ok := ev.(reducer.CallerAsked); ok {
 		g.asked = ask.Name
 	}
 	return ev
@@ -91,7 +91,7 @@
 	m.Close = true // nothing that is answered before its end can be followed by another request
 	g.old, g.headAt = m.Old, time.Time{}
 	ev := p.asked(g, m)
-	if ask, ok := ev.(proxystate.CallerAsked); ok {
+	if ask, ok := ev.(reducer.CallerAsked); ok {
 		f := &flow{m: m, from: g, length: body.Known(), windows: p.windows, upload: true, body: body}
 		g.streaming = true
 		left := f.length - body.Came()
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/settings"
 )
@@ -103,7 +103,7 @@
 		set := lg.Settings{Balancers: 1, MaxAttempts: 1, AskForList: true,
 			Classes: []lg.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}}}
 		var err error
-		if p.state, err = proxystate.New(proxystate.Config{Settings: set, Discovery: "here"}); err != nil {
+		if p.state, err = reducer.New(reducer.Config{Settings: set, Discovery: "here"}); err != nil {
 			t.Fatal(err)
 		}
 		party := &party{addr: "127.0.0.1:1"}
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 )
 
 // step hands the reducer an event and carries out what it asks for.
-func (p *proxy) step(ev proxystate.Event) {
+func (p *proxy) step(ev reducer.Event) {
 	t := time.Now()
 	now := p.at(t)
 	p.observed.lookAtClock(t, now)
@@ -18,13 +18,13 @@
 	}
 }
 
-func (p *proxy) carryOut(e proxystate.Effect) {
+func (p *proxy) carryOut(e reducer.Effect) {
 	switch e.Do {
-	case proxystate.AnswerCaller:
+	case reducer.AnswerCaller:
 		if g := p.callers[e.Leg]; g != nil {
 			g.busy = true
 			g.asking.Store(true)
-			if f, ok := e.Payload.(*flow); ok && e.Verdict == proxystate.Served {
+			if f, ok := e.Payload.(*flow); ok && e.Verdict == reducer.Served {
 				f.old = g.old
 				g.write(p.pass(f, g, f.m.BackHead(fieldLoad, f.length, f.old, e.Last)))
 				return
@@ -32,27 +32,27 @@
 			p.observed.unserved(g, e, p.now())
 			g.write(job{bufs: answer(e), by: e.At, report: true})
 		}
-	case proxystate.EaseCaller:
+	case reducer.EaseCaller:
 		if g := p.callers[e.Leg]; g != nil {
 			p.inbox.post(easing{g})
 		}
-	case proxystate.PartCaller:
+	case reducer.PartCaller:
 		if g := p.callers[e.Leg]; g != nil {
 			g.part()
 		}
-	case proxystate.CloseCaller:
+	case reducer.CloseCaller:
 		if g := p.callers[e.Leg]; g != nil {
 			g.close()
 		}
-	case proxystate.Dial:
+	case reducer.Dial:
 		g := &leg{id: e.Leg, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
 		p.hops[e.Leg] = g
 		go g.dial(p.servers.Address(e.Server), e.At)
-	case proxystate.Forward:
+	case reducer.Forward:
 		if g := p.hops[e.Leg]; g != nil {
 			p.forward(g, e)
 		}
-	case proxystate.CloseHop:
+	case reducer.CloseHop:
 		if g := p.hops[e.Leg]; g != nil {
 			delete(p.hops, e.Leg)
 			if g.flow != nil {
@@ -60,7 +60,7 @@
 			}
 			g.close()
 		}
-	case proxystate.StreamHop:
+	case reducer.StreamHop:
 		if g := p.hops[e.Leg]; g != nil && g.busy {
 			g.parser.Enlarge()
 			if g.pulling {
@@ -69,29 +69,29 @@
 				p.inbox.post(bytesIn{leg: g, read: time.Now()}) // looked at once this effect is done
 			}
 		}
-	case proxystate.Arm:
+	case reducer.Arm:
 		p.timer.Reset(p.until(e.At))
-	case proxystate.Watch:
+	case reducer.Watch:
 		p.watch(e)
-	case proxystate.Publish:
-		figures := e.Payload.(*proxystate.Figures)
+	case reducer.Publish:
+		figures := e.Payload.(*reducer.Figures)
 		figures.Sockets = p.observed.figures
 		p.published(figures)
-	case proxystate.Stop:
-		stopped := e.Payload.(proxystate.Stopped)
+	case reducer.Stop:
+		stopped := e.Payload.(reducer.Stopped)
 		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.Own)
-	case proxystate.Log:
+	case reducer.Log:
 		p.logServer(e)
-	case proxystate.TellCallers:
+	case reducer.TellCallers:
 		go p.listener.settle(func() { p.inbox.post(allTold{}) })
-	case proxystate.Finish:
+	case reducer.Finish:
 		p.done = true
 	}
 }
 
 // forward has a request written to a server, unless that can't be done well any more: then the reducer hears
 // of it, in the order of events.
-func (p *proxy) forward(g *leg, e proxystate.Effect) {
+func (p *proxy) forward(g *leg, e reducer.Effect) {
 	if !g.fit() {
 		p.inbox.post(unfit{g})
 		return
@@ -115,7 +115,7 @@
 }
 
 // watch has discovery asked.
-func (p *proxy) watch(e proxystate.Effect) {
+func (p *proxy) watch(e reducer.Effect) {
 	if p.watcher == nil || p.watcher.address != e.Text || e.Anew {
 		if p.watcher != nil {
 			p.watcher.stop()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -12,7 +12,7 @@
 	"github.com/cloudwego/netpoll"
 
 	lg "lilacglade"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/settings"
 	"lilacglade/internal/transient"
 	"lilacglade/internal/upgrade"
@@ -96,7 +96,7 @@
 	if !p.set.AskForList {
 		p.servers.Forget() // guards against a watch that waits for news, while what is known counts as outdated
 	}
-	p.step(proxystate.ListTold{List: list, Whole: !p.servers.Watches()})
+	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
 	return true
 }
 
@@ -122,7 +122,7 @@
 	if !p.know(h.Routes) {
 		return false
 	}
-	p.step(proxystate.Remembered{Ago: max(0, h.Age), Learned: h.Learned})
+	p.step(reducer.Remembered{Ago: max(0, h.Age), Learned: h.Learned})
 	log.Printf("took over from a process that wrote %v ago", h.Age.Round(time.Millisecond))
 	return true
 }
--- a/internal/transport/leg.go
+++ b/internal/transport/leg.go
@@ -11,13 +11,13 @@
 	"github.com/cloudwego/netpoll"
 
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/transient"
 )
 
 // leg is one connection, to a caller or to a next hop.
 type leg struct {
-	id     proxystate.LegID
+	id     reducer.LegID
 	caller bool
 	inbox  *inbox
 	clock  clock
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -7,12 +7,12 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/settings"
 )
 
 // read returns a request of one class with the given lines in its head.
-func read(lines string) (proxystate.Event, bool) {
+func read(lines string) (reducer.Event, bool) {
 	set := settings.Settings{Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}}
 	var p http1.Parser
 	p.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" + lines + "\r\n"))
@@ -41,19 +41,19 @@
 		"Work-Hint: \r\nRequest-Info: a=b,=\r\n": 0,
 	} {
 		ev, ok := read(lines)
-		asked, took := ev.(proxystate.CallerAsked)
+		asked, took := ev.(reducer.CallerAsked)
 		if !ok || !took || asked.Cost != want {
 			t.Errorf("%q: got %+v, want a request of %v", lines, ev, want)
 		}
 	}
 	var got lg.Request
-	s, err := proxystate.New(proxystate.Config{MaxCallers: 4, MaxHops: 4, Decider: spy{&got},
+	s, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: spy{&got},
 		Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ev, _ := read("Work-Hint: 53000\r\n")
-	s.Step(0, proxystate.CallerOpened{Leg: 1})
+	s.Step(0, reducer.CallerOpened{Leg: 1})
 	if s.Step(0, ev); got.Cost != 53*time.Millisecond {
 		t.Errorf("the module was told %v", got.Cost)
 	}
@@ -87,7 +87,7 @@
 		if !ok || strings.ContainsAny(value, "\r\n") {
 			return
 		}
-		if a, ok := ev.(proxystate.CallerAsked); !ok || a.Cost < 0 || a.Cost > maxHint {
+		if a, ok := ev.(reducer.CallerAsked); !ok || a.Cost < 0 || a.Cost > maxHint {
 			t.Errorf("%s: %q gives %+v", name, value, ev)
 		}
 	})
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -14,7 +14,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/logburst"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/wallclock"
 )
 
@@ -28,7 +28,7 @@
 // observer is what the sockets tell operators about: the log's lines and the figures that the reducer can't
 // count. The reducer's goroutine owns it.
 type observer struct {
-	figures   proxystate.SocketFigures
+	figures   reducer.SocketFigures
 	clock     wallclock.Monitor
 	clockDue  time.Duration
 	unwritten logburst.Limiter
@@ -124,8 +124,8 @@
 
 // unserved takes in an answer that is about to be written. One that is no server's, to a request that was
 // taken, is logged with what had been tried, so that an operator can tell why a client was turned away.
-func (o *observer) unserved(g *leg, e proxystate.Effect, now time.Duration) {
-	u, ok := e.Payload.(proxystate.Unserved)
+func (o *observer) unserved(g *leg, e reducer.Effect, now time.Duration) {
+	u, ok := e.Payload.(reducer.Unserved)
 	if !ok {
 		return
 	}
@@ -187,7 +187,7 @@
 }
 
 // logServer logs a line, with the name of the server that it is about.
-func (p *proxy) logServer(e proxystate.Effect) {
+func (p *proxy) logServer(e reducer.Effect) {
 	if name := p.servers.Name(e.Server); e.Server != 0 && name != "" {
 		log.Printf("%s (%s)", e.Text, name)
 		return
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -17,7 +17,7 @@
 	"lilacglade/internal/admin"
 	"lilacglade/internal/http1"
 	"lilacglade/internal/peers"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/settings"
 )
@@ -52,13 +52,13 @@
 	set settings.Settings
 	clock
 	inbox    *inbox
-	state    *proxystate.State
+	state    *reducer.State
 	servers  *serverlist.Set
 	decoder  *serverlist.Decoder
 	watcher  *watcher
 	listener *listener
-	callers  map[proxystate.LegID]*leg
-	hops     map[proxystate.LegID]*leg
+	callers  map[reducer.LegID]*leg
+	hops     map[reducer.LegID]*leg
 	timer    *time.Timer
 	door     *admin.Door // nil: operators can't call
 	passed   bool        // the listening socket is shared with other processes of this proxy
@@ -88,28 +88,28 @@
 // Serve runs the proxy until ctx ends and all it has taken is answered. What comes from reloads
 // is a new configuration. Trace may be nil.
 func Serve(ctx context.Context, node settings.Node, reloads <-chan Load,
-	trace proxystate.Tracer) error {
+	trace reducer.Tracer) error {
 	return ServeBy(ctx, node, reloads, Options{Trace: trace})
 }
 
 // Options are what a proxy may have besides.
 type Options struct {
-	Decider proxystate.Decider // in place of the decision module; nil: the module
-	Trace   proxystate.Tracer  // nil: none
-	Peers   *peers.Config      // nil: it talks to no other proxy
+	Decider reducer.Decider // in place of the decision module; nil: the module
+	Trace   reducer.Tracer  // nil: none
+	Peers   *peers.Config   // nil: it talks to no other proxy
 }
 
 // ServeBy runs the proxy with options.
 func ServeBy(ctx context.Context, node settings.Node, reloads <-chan Load, o Options) error {
 	p := &proxy{set: node.Settings, clock: startClock(), inbox: newInbox(),
-		callers: map[proxystate.LegID]*leg{}, hops: map[proxystate.LegID]*leg{}, timer: time.NewTimer(0),
+		callers: map[reducer.LegID]*leg{}, hops: map[reducer.LegID]*leg{}, timer: time.NewTimer(0),
 		observed: newObserver(), decoder: new(serverlist.Decoder)}
 	p.servers = serverlist.New(p.set.ZoneNames, p.set.KindNames, p.epoch())
 	callers, hops := budget(node.Limits)
 	var err error
 	p.passed = node.Passed != ""
 	p.windows = newWindows(int64(node.Limits.MemoryMB) << 20)
-	cfg := proxystate.Config{Settings: p.set.Settings, Seed: node.Seed,
+	cfg := reducer.Config{Settings: p.set.Settings, Seed: node.Seed,
 		MaxCallers: calm(callers), MaxHops: hops, IdleHops: p.set.KeepAlive / idleParts,
 		Discovery: node.Discovery, Decider: o.Decider, Trace: o.Trace, Work: o.Peers != nil,
 		Figures: node.Admin != "" || o.Peers != nil}
@@ -119,7 +119,7 @@
 	if p.passed {
 		cfg.Overlap = p.now() + overlapFor
 	}
-	p.state, err = proxystate.New(cfg)
+	p.state, err = reducer.New(cfg)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 	}()
 	if !p.takeOver(node) && !p.know(node.Known) {
 		// Guards against a process that never asks, since it was never told anything.
-		p.step(proxystate.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
+		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
 	}
 	log.Printf("%s serves on %s", node.Name, node.Listen)
 	err = p.run()
@@ -186,7 +186,7 @@
 	var last atomic.Uint64
 	return func(conn netpoll.Connection) context.Context {
 		ln.open.Add(1)
-		g := &leg{id: proxystate.LegID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
+		g := &leg{id: reducer.LegID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
 			waited: ln.since, taken: time.Now()}
 		g.attach(conn, func() { ln.open.Add(-1) })
 		p.inbox.post(accepted{g})
@@ -210,8 +210,8 @@
 		case <-p.inbox.wake:
 		case <-p.timer.C:
 			began := time.Now()
-			p.step(proxystate.Woken{})
-			p.handled(proxystate.Woken{}, began)
+			p.step(reducer.Woken{})
+			p.handled(reducer.Woken{}, began)
 		}
 		items = p.inbox.take(items)
 		for _, item := range items {
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -3,7 +3,7 @@
 import (
 	lg "lilacglade"
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 )
 
 // readHop looks for the answer on a hop leg. Whatever is not the one answer that is owed makes
@@ -11,7 +11,7 @@
 func (p *proxy) readHop(g *leg, cut bool) {
 	if !g.busy {
 		if g.parser.Partial() {
-			p.step(proxystate.HopStray{Leg: g.id})
+			p.step(reducer.HopStray{Leg: g.id})
 		}
 		return
 	}
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case err != nil, m == nil && cut:
-		p.answered(g, proxystate.HopAnswered{Leg: g.id, Result: lg.ServerError})
+		p.answered(g, reducer.HopAnswered{Leg: g.id, Result: lg.ServerError})
 	case m != nil:
 		p.answered(g, answered(&p.set, g.id, m, !g.parser.Partial() && !cut))
 	case g.parser.Large() && !g.isRaw:
@@ -35,12 +35,12 @@
 		p.download(g)
 	case g.parser.Open() && g.parser.Status() == 200 && !g.begun:
 		g.begun = true
-		p.step(proxystate.HopBegins{Leg: g.id})
+		p.step(reducer.HopBegins{Leg: g.id})
 	}
 }
 
 // answered takes in that a hop leg owes nothing any more. What is still being passed on to it is stopped.
-func (p *proxy) answered(g *leg, ev proxystate.HopAnswered) {
+func (p *proxy) answered(g *leg, ev reducer.HopAnswered) {
 	g.busy = false
 	if g.flow != nil {
 		ev.Gone = g.flow.stop(g)
@@ -55,12 +55,12 @@
 	early := g.flow != nil && !g.flow.ended
 	if body.Done || ev.Result != lg.OK || early {
 		if !body.Done || early { // one that comes before its request is whole is not passed on either
-			ev = proxystate.HopAnswered{Leg: g.id, Result: lg.ServerError, Load: ev.Load}
+			ev = reducer.HopAnswered{Leg: g.id, Result: lg.ServerError, Load: ev.Load}
 		}
 		p.answered(g, ev)
 		return
 	}
 	g.busy, g.streaming = false, true
-	p.step(proxystate.HopStreams{Leg: g.id, Load: ev.Load, Payload: &flow{m: m, from: g, length: body.Known(),
+	p.step(reducer.HopStreams{Leg: g.id, Load: ev.Load, Payload: &flow{m: m, from: g, length: body.Known(),
 		windows: p.windows, body: body}})
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,7 +14,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/http1"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 )
 
 // far only ends a test that hangs.
@@ -255,7 +255,7 @@
 	for advice, want := range tests {
 		var p http1.Parser
 		p.Responses = true
-		for _, b := range answer(proxystate.Effect{Verdict: proxystate.Busy, Advice: advice}) {
+		for _, b := range answer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
 			p.Feed(append([]byte(nil), b...))
 		}
 		m, err := p.Next()
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -9,7 +9,7 @@
 	"lilacglade/internal/council"
 	"lilacglade/internal/holds"
 	"lilacglade/internal/peers"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/settings"
 	"lilacglade/internal/workorder"
@@ -43,7 +43,7 @@
 // late is asked just before a request is written. Guards against a process that was held up there: the time
 // for the attempt may be over, or the machine out by now, so nothing is written, and said is posted; or it
 // is to be decided anew.
-func (p *proxy) late(e proxystate.Effect, said written) func() bool {
+func (p *proxy) late(e reducer.Effect, said written) func() bool {
 	decided := p.now()
 	return func() bool {
 		now := p.now()
@@ -61,7 +61,7 @@
 }
 
 // published shows the figures to operators, and what follows from them to the other proxies.
-func (p *proxy) published(f *proxystate.Figures) {
+func (p *proxy) published(f *reducer.Figures) {
 	if p.door != nil {
 		p.door.Show(f)
 	}
