--- a/internal/council/council.go
+++ b/internal/coordination/coordination.go
@@ -1,7 +1,8 @@
-// Package council is one proxy's part among the proxies that talk to each other: the lease without which it
-// begins nothing at machines that may be out for work, its part in the log that a few of them agree on, and
-// operators' calls. It is pure: State, absolute time and event in, effects out, to be done in their order.
-package council
+// Package coordination is one proxy's part among the proxies that talk to each other: the lease without which
+// it begins nothing at machines that may be out for work, its part in the log that a few of them agree on,
+// and operators' calls. It is pure: State, absolute time and event in, effects out, to be done in their
+// order.
+package coordination
 
 import (
 	"cmp"
--- a/internal/council/exchange.go
+++ b/internal/coordination/exchange.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"lilacglade/internal/members"
@@ -22,8 +22,8 @@
 // received takes a message. What is not understood, or from another log, is counted and changes nothing.
 func (c *Council) received(raw []byte) {
 	var e Envelope
-	if err := workorder.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" || e.Inc == 0 ||
-		e.To != c.cfg.Name {
+	if err := workorder.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" ||
+		e.Inc == 0 || e.To != c.cfg.Name {
 		c.Foreign++
 		return
 	}
--- a/internal/council/facts.go
+++ b/internal/coordination/facts.go
@@ -1,4 +1,4 @@
-package council
+package coordination
 
 import (
 	"fmt"
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -17,7 +17,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/agree"
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 	"lilacglade/internal/holds"
 	"lilacglade/internal/workorder"
 )
@@ -41,8 +41,8 @@
 	facts   func(f holds.Facts[lg.ServerID], own uint64)
 	ln      net.Listener
 	disk    *agree.Disk
-	council *council.Council
-	events  chan council.Event
+	council *coordination.Council
+	events  chan coordination.Event
 	done    chan struct{}
 	ended   sync.WaitGroup
 	links   map[string]*link
@@ -55,7 +55,7 @@
 
 	mu     sync.Mutex
 	names  map[lg.ServerID]string // of the machines named now
-	waits  map[uint64]chan council.Answer
+	waits  map[uint64]chan coordination.Answer
 	token  uint64
 	conns  map[net.Conn]bool
 	closed bool
@@ -87,8 +87,8 @@
 		return nil, fmt.Errorf("peers: listen: %w", err)
 	}
 	n := &Node{cfg: cfg, name: o.Name, id: o.ID, now: o.Now, facts: o.Facts, ln: ln, disk: disk,
-		events: make(chan council.Event, maxEvents), done: make(chan struct{}), links: map[string]*link{},
-		left: make(chan struct{}), names: map[lg.ServerID]string{}, waits: map[uint64]chan council.Answer{},
+		events: make(chan coordination.Event, maxEvents), done: make(chan struct{}), links: map[string]*link{},
+		left: make(chan struct{}), names: map[lg.ServerID]string{}, waits: map[uint64]chan coordination.Answer{},
 		conns: map[net.Conn]bool{}}
 	var names []string
 	for peer := range cfg.Peers {
@@ -97,11 +97,11 @@
 		}
 	}
 	slices.Sort(names)
-	n.council, err = council.New(council.Config{Name: o.Name, Inc: rand.Uint64() | 1, Addr: cfg.Advertise,
-		Founders: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed, ReplaceAfter: cfg.ReplaceAfter,
-		WarmAfter: o.WarmAfter, Level: rigLevel(), AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot,
-		Saved: disk.Saved, Note: disk.Note})
-	if errors.Is(err, council.ErrLater) {
+	n.council, err = coordination.New(coordination.Config{Name: o.Name, Inc: rand.Uint64() | 1,
+		Addr: cfg.Advertise, Founders: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed,
+		ReplaceAfter: cfg.ReplaceAfter, WarmAfter: o.WarmAfter, Level: rigLevel(),
+		AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot, Saved: disk.Saved, Note: disk.Note})
+	if errors.Is(err, coordination.ErrLater) {
 		_, _ = disk.Close(), ln.Close()
 		return nil, fmt.Errorf("peers: dir: %w", err)
 	}
@@ -124,14 +124,14 @@
 // run owns the council.
 func (n *Node) run() {
 	defer n.ended.Done()
-	tick := time.NewTicker(council.TickEvery)
+	tick := time.NewTicker(coordination.TickEvery)
 	defer tick.Stop()
 	for {
 		select {
 		case ev := <-n.events:
 			n.step(ev)
 		case <-tick.C:
-			n.step(council.Tick{})
+			n.step(coordination.Tick{})
 		case <-n.done:
 			if n.disk != nil {
 				_ = n.disk.Close()
@@ -142,7 +142,7 @@
 }
 
 // post hands an event over; when the council is far behind, it is lost, as on a network.
-func (n *Node) post(ev council.Event) {
+func (n *Node) post(ev coordination.Event) {
 	select {
 	case n.events <- ev:
 	default:
@@ -151,15 +151,15 @@
 
 // step gives the council an event and does what it wants. Guards against the library giving up the whole
 // program where a state can't be: the disk is set aside, and this proxy goes on under a new identity.
-func (n *Node) step(ev council.Event) {
+func (n *Node) step(ev coordination.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			log.Printf("peers: the log can't be gone on with: %v\n%s", r, debug.Stack())
 			n.renew(fmt.Sprint(r))
 		}
 	}()
-	if _, lost := ev.(council.DiskLost); n.disk == nil && !lost {
-		if _, back := ev.(council.DiskBack); !back {
+	if _, lost := ev.(coordination.DiskLost); n.disk == nil && !lost {
+		if _, back := ev.(coordination.DiskBack); !back {
 			n.reopen()
 		}
 	}
@@ -168,7 +168,7 @@
 			log.Printf("peers: the disk: %v", err)
 			_ = n.disk.Close()
 			n.disk, n.retryAt = nil, time.Now().Add(retryDisk)
-			n.step(council.DiskLost{})
+			n.step(coordination.DiskLost{})
 			return
 		}
 	}
@@ -190,8 +190,8 @@
 	n.step(back(disk))
 }
 
-func back(d *agree.Disk) council.DiskBack {
-	return council.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
+func back(d *agree.Disk) coordination.DiskBack {
+	return coordination.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
 }
 
 // renew sets the disk aside and goes on under a new identity.
@@ -204,47 +204,47 @@
 	if n.disk = disk; err != nil {
 		n.disk = nil
 		log.Printf("peers: the disk: %v", err)
-		n.step(council.DiskLost{})
+		n.step(coordination.DiskLost{})
 		return
 	}
 	n.step(back(disk))
 }
 
-func (n *Node) effect(e council.Effect) error {
+func (n *Node) effect(e coordination.Effect) error {
 	switch e := e.(type) {
-	case council.Persist:
+	case coordination.Persist:
 		if n.disk == nil {
 			return nil // the council has no log then
 		}
 		return n.disk.Write(e.Write)
-	case council.Keep:
+	case coordination.Keep:
 		if n.disk == nil {
 			return nil
 		}
 		return n.disk.Keep(e.Note)
-	case council.Send:
+	case coordination.Send:
 		n.send(e)
-	case council.Facts:
+	case coordination.Facts:
 		n.tell(e)
-	case council.Reply:
+	case coordination.Reply:
 		n.mu.Lock()
 		if c := n.waits[e.Token]; c != nil {
 			delete(n.waits, e.Token)
 			c <- e.Answer
 		}
 		n.mu.Unlock()
-	case council.Retire:
+	case coordination.Retire:
 		n.renew(e.Why)
-	case council.Left:
+	case coordination.Left:
 		close(n.left)
-	case council.Log:
+	case coordination.Log:
 		log.Print("peers: " + e.Text)
 	}
 	return nil
 }
 
 // send has a message sent. An address of the configuration goes before what the peer says itself.
-func (n *Node) send(e council.Send) {
+func (n *Node) send(e coordination.Send) {
 	addr := n.cfg.Peers[e.To]
 	if addr == "" {
 		addr = e.Addr
@@ -268,7 +268,7 @@
 }
 
 // tell hands the facts to the reducer, by the machines' numbers.
-func (n *Node) tell(e council.Facts) {
+func (n *Node) tell(e coordination.Facts) {
 	f := holds.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
 	names := map[lg.ServerID]string{}
 	own := uint64(0)
@@ -297,7 +297,7 @@
 // Stopped takes what the reducer says.
 // Own is the grant by which this proxy's own machine goes out and nothing is open here any more; 0: it isn't.
 func (n *Node) Stopped(index uint64, clear []holds.Mark[lg.ServerID], own uint64) {
-	ev := council.Stopped{Index: index}
+	ev := coordination.Stopped{Index: index}
 	if own > 0 {
 		ev.Clear = append(ev.Clear, workorder.Mark{Machine: workorder.ProxyID(n.name), Grant: own})
 	}
@@ -312,7 +312,7 @@
 }
 
 // must hands over an event that must not be lost.
-func (n *Node) must(ev council.Event) {
+func (n *Node) must(ev coordination.Event) {
 	select {
 	case n.events <- ev:
 	default:
@@ -326,10 +326,10 @@
 }
 
 // Inventory takes the machines as discovery lists them.
-func (n *Node) Inventory(all []workorder.Seen) { n.post(council.Inventory{Machines: all}) }
+func (n *Node) Inventory(all []workorder.Seen) { n.post(coordination.Inventory{Machines: all}) }
 
 // Load takes what the proxy has handled and refused since the last call, and what it measured.
-func (n *Node) Load(l council.Load) { n.post(l) }
+func (n *Node) Load(l coordination.Load) { n.post(l) }
 
 // accept takes peers' connections.
 func (n *Node) accept() {
@@ -356,7 +356,7 @@
 		go func() {
 			err := take(conn, func(raw []byte) {
 				n.heard.Add(uint64(len(raw)))
-				n.post(council.Received{Raw: raw})
+				n.post(coordination.Received{Raw: raw})
 			})
 			if other := net.Error(nil); err != nil && !errors.As(err, &other) && !errors.Is(err, net.ErrClosed) {
 				n.garbled.Add(1)
@@ -370,14 +370,14 @@
 }
 
 // Ask makes an operators' call and waits for what came of it.
-func (n *Node) Ask(call council.Call) council.Answer {
-	c := make(chan council.Answer, 1)
+func (n *Node) Ask(call coordination.Call) coordination.Answer {
+	c := make(chan coordination.Answer, 1)
 	n.mu.Lock()
 	n.token++
 	token := n.token
 	n.waits[token] = c
 	n.mu.Unlock()
-	n.post(council.Asked{Token: token, Call: call})
+	n.post(coordination.Asked{Token: token, Call: call})
 	timer := time.NewTimer(answerFor)
 	defer timer.Stop()
 	select {
@@ -389,8 +389,9 @@
 	n.mu.Lock()
 	delete(n.waits, token)
 	n.mu.Unlock()
-	return council.Answer{ID: call.ID, Err: "no answer; the call may still be carried out: ask again with the " +
-		"same id"}
+	return coordination.Answer{ID: call.ID,
+		Err: "no answer; the call may still be carried out: ask again with the " +
+			"same id"}
 }
 
 // Action is an operators' call as it comes in on the admin socket.
@@ -422,7 +423,7 @@
 	if err := d.Decode(&a); err != nil {
 		return fmt.Appendf(nil, "-ERR not a call: %v\n", err)
 	}
-	call := council.Call{ID: a.ID}
+	call := coordination.Call{ID: a.ID}
 	switch w, ok := does[a.Do]; {
 	case a.ID == "" || len(a.ID) > 128:
 		return []byte("-ERR id: not set, or over 128 bytes\n")
@@ -458,7 +459,7 @@
 
 // Leave says that this proxy has ended all it had open, and ends.
 func (n *Node) Leave() {
-	n.must(council.Leaving{})
+	n.must(coordination.Leaving{})
 	select {
 	case <-n.left:
 	case <-time.After(leaveFor): // it is found out by its lease
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -6,7 +6,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 	"lilacglade/internal/holds"
 	"lilacglade/internal/peers"
 	"lilacglade/internal/reducer"
@@ -73,7 +73,7 @@
 		now.handled += h.Passed + h.Dropped + h.BadGateway
 		now.refused += h.Dropped
 	}
-	l := council.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
+	l := coordination.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
 	for _, r := range f.Rooms {
 		l.Busy += float64(r.Out)
 		name, ok := now.names[r.Server]
@@ -81,7 +81,7 @@
 			l.Avoids = append(l.Avoids, name)
 		}
 		if ok {
-			l.Rooms = append(l.Rooms, council.Room{Machine: name, Most: r.Most})
+			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.Most})
 		}
 	}
 	for _, id := range f.Hot {
--- a/internal/workplay/disk.go
+++ b/internal/workplay/disk.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 
 	"lilacglade/internal/agree"
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
@@ -55,9 +55,9 @@
 }
 
 // open is a start on this disk.
-func (d *disk) open() council.DiskBack {
+func (d *disk) open() coordination.DiskBack {
 	d.boot++
-	b := council.DiskBack{ID: d.id, Boot: d.boot, Note: d.note}
+	b := coordination.DiskBack{ID: d.id, Boot: d.boot, Note: d.note}
 	if d.hard != nil {
 		b.Saved.Hard = proto.CloneOf(d.hard)
 	}
--- a/internal/workplay/faults.go
+++ b/internal/workplay/faults.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 	"lilacglade/internal/workorder"
 )
 
@@ -94,10 +94,10 @@
 	for _, m := range p.w.machines {
 		all = append(all, workorder.Seen{Machine: m.Machine, Ready: m.ready})
 	}
-	p.step(council.Inventory{Machines: all})
-	load := council.Load{Handled: 100, Busy: float64(len(p.flights))}
+	p.step(coordination.Inventory{Machines: all})
+	load := coordination.Load{Handled: 100, Busy: float64(len(p.flights))}
 	for _, m := range p.w.machines {
-		load.Rooms = append(load.Rooms, council.Room{Machine: m.ID, Most: 40 + 40*p.w.rng.Float64()})
+		load.Rooms = append(load.Rooms, coordination.Room{Machine: m.ID, Most: 40 + 40*p.w.rng.Float64()})
 		if p.w.rng.IntN(20) == 0 && !p.w.healed {
 			load.Hot = append(load.Hot, m.ID)
 		}
@@ -124,7 +124,7 @@
 		w.at(d, func() {
 			for _, p := range w.proxies {
 				if p.name == to && p.alive {
-					p.later(0, func() { p.step(council.Received{Raw: raw}) })
+					p.later(0, func() { p.step(coordination.Received{Raw: raw}) })
 				}
 			}
 		})
@@ -158,7 +158,7 @@
 	}
 	w.at(w.between(3*time.Second, 12*time.Second), w.operate)
 	w.lastCall++
-	call := council.Call{ID: fmt.Sprintf("c%d", w.lastCall)}
+	call := coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall)}
 	switch n := w.rng.IntN(6); {
 	case n < 4 || len(w.orders) == 0:
 		id := fmt.Sprintf("o%d", w.lastCall)
@@ -174,7 +174,7 @@
 		id := w.orders[w.rng.IntN(len(w.orders))]
 		call.Command = &workorder.Command{Kind: workorder.Pause, Name: id}
 		w.lastCall++
-		resume := council.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
+		resume := coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
 			Kind: workorder.Resume, Name: id}}
 		w.at(w.between(time.Second, 5*time.Second), func() { w.insist(resume, 0) })
 	default:
@@ -184,7 +184,7 @@
 }
 
 // insist sends a call until it is answered, now and then to two proxies at once.
-func (w *world) insist(call council.Call, tries int) {
+func (w *world) insist(call coordination.Call, tries int) {
 	if _, ok := w.calls[call.ID]; ok || tries > 60 {
 		return
 	}
@@ -201,7 +201,7 @@
 	for range 1 + w.rng.IntN(2) {
 		p := w.proxies[w.rng.IntN(len(w.proxies))]
 		if p.alive {
-			p.later(0, func() { p.step(council.Asked{Token: w.rng.Uint64(), Call: call}) })
+			p.later(0, func() { p.step(coordination.Asked{Token: w.rng.Uint64(), Call: call}) })
 		}
 	}
 	w.at(w.between(time.Second, 3*time.Second), func() { w.insist(call, tries+1) })
@@ -285,7 +285,7 @@
 			for _, m := range w.machines {
 				p.endAll(m.ID)
 			}
-			p.later(0, func() { p.step(council.Leaving{}) })
+			p.later(0, func() { p.step(coordination.Leaving{}) })
 			w.at(lasts, func() {
 				p.kill()
 				p.start()
@@ -358,7 +358,7 @@
 	p.lost = true
 	w.at(w.between(3*time.Second, 8*time.Second), func() {
 		w.lastCall++
-		w.insist(council.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
+		w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
 			Kind: workorder.Forget, Name: p.name}}, 0)
 	})
 }
@@ -383,7 +383,7 @@
 	resume = func() { // what was paused goes on, also by a call that was long on its way
 		for _, o := range w.orders {
 			w.lastCall++
-			w.insist(council.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
+			w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
 				Kind: workorder.Resume, Name: o}}, 0)
 		}
 		w.at(10*time.Second, resume)
--- a/internal/workplay/play.go
+++ b/internal/workplay/play.go
@@ -1,6 +1,6 @@
-// Package workplay plays the proxies that settle who goes out for work in virtual time: the real council and
-// holds of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed. What
-// happens is held against workorder.Judge, which judges real processes too.
+// Package workplay plays the proxies that settle who goes out for work in virtual time: the real coordination
+// and holds of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed.
+// What happens is held against workorder.Judge, which judges real processes too.
 package workplay
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 	"lilacglade/internal/holds"
 	"lilacglade/internal/workorder"
 )
@@ -31,7 +31,7 @@
 	Trace    func(string)
 	// Break and Without take a guard out, to show that the judge finds what it guards against.
 	Break   Break
-	Without council.Guard
+	Without coordination.Guard
 }
 
 // Break is a guard that is taken out.
@@ -134,7 +134,7 @@
 	backlog  []func()
 	rate     float64
 	offset   time.Duration
-	council  *council.Council
+	council  *coordination.Council
 	holds    *holds.Set[string]
 	disk     *disk
 	old      *disk
@@ -289,9 +289,9 @@
 			peers = append(peers, o.name)
 		}
 	}
-	c, err := council.New(council.Config{Name: p.name, Inc: p.inc, Addr: "a-" + p.name, Founders: w.founders(),
-		Peers: peers, Grace: grace, Seed: w.rng.Uint64(), ReplaceAfter: 8 * time.Second, WarmAfter: time.Second,
-		Without: w.cfg.Without, Level: p.level,
+	c, err := coordination.New(coordination.Config{Name: p.name, Inc: p.inc, Addr: "a-" + p.name,
+		Founders: w.founders(), Peers: peers, Grace: grace, Seed: w.rng.Uint64(),
+		ReplaceAfter: 8 * time.Second, WarmAfter: time.Second, Without: w.cfg.Without, Level: p.level,
 		ID: back.ID, Boot: back.Boot, Saved: back.Saved, Note: back.Note})
 	if err != nil {
 		w.report.Fault = fmt.Errorf("%s does not start: %w", p.name, err)
@@ -303,7 +303,7 @@
 	p.seenWork, p.killAt, p.wakeAt = 0, 0, 0
 	w.trace("%s starts as %x, boot %d", p.name, p.inc, back.Boot)
 	inc := p.inc
-	p.every(council.TickEvery, inc, func() { p.step(council.Tick{}) })
+	p.every(coordination.TickEvery, inc, func() { p.step(coordination.Tick{}) })
 	p.every(w.between(15*time.Millisecond, 60*time.Millisecond), inc, p.ask)
 	p.every(700*time.Millisecond, inc, p.discovery)
 	p.discovery()
@@ -350,7 +350,7 @@
 func (p *proxy) key() string { return workorder.Key(p.name, p.inc) }
 
 // step gives the council an event and does what it wants.
-func (p *proxy) step(ev council.Event) {
+func (p *proxy) step(ev coordination.Event) {
 	if !p.alive {
 		return
 	}
@@ -375,7 +375,7 @@
 			}
 		}
 		if !p.effect(e) {
-			p.step(council.DiskLost{})
+			p.step(coordination.DiskLost{})
 			p.later(w.between(time.Second, 3*time.Second), p.tryDisk)
 			return
 		}
@@ -386,7 +386,7 @@
 }
 
 // safely steps the council. Where the library finds a state that can't be, the driver sets the disk aside.
-func (p *proxy) safely(ev council.Event) (effects []council.Effect, ok bool) {
+func (p *proxy) safely(ev coordination.Event) (effects []coordination.Effect, ok bool) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.w.trace("%s: the log can't be gone on with: %v", p.name, r)
@@ -409,30 +409,30 @@
 }
 
 // effect does one thing; false: the disk failed.
-func (p *proxy) effect(e council.Effect) bool {
+func (p *proxy) effect(e coordination.Effect) bool {
 	w := p.w
 	switch e := e.(type) {
-	case council.Persist:
+	case coordination.Persist:
 		if w.cfg.Break == ForgetVotes && w.rng.IntN(3) == 0 {
 			return true
 		}
 		return p.disk.write(e.Write)
-	case council.Keep:
+	case coordination.Keep:
 		if p.disk.full {
 			return false
 		}
 		if p.disk.used = true; w.cfg.Break != ForgetNote || p.disk.note == nil || w.rng.IntN(3) > 0 {
 			p.disk.note = e.Note
 		}
-	case council.Send:
+	case coordination.Send:
 		w.deliver(p.name, e.To, e.Raw)
-	case council.Facts:
+	case coordination.Facts:
 		f := holds.Facts[string]{Index: e.Index, Named: e.Named, Until: e.Until, Grace: e.Grace}
 		for _, m := range e.Marked {
 			f.Marked = append(f.Marked, holds.Mark[string]{Machine: m.Machine, Grant: m.Grant})
 		}
 		if w.cfg.Break == NoLapse && f.Until > 0 {
-			f.Until = council.Forever
+			f.Until = coordination.Forever
 		}
 		if w.cfg.Break == NoCut {
 			f.Grace = time.Hour
@@ -441,7 +441,7 @@
 			p.holds.Told(f)
 			p.react()
 		})
-	case council.Reply:
+	case coordination.Reply:
 		a := e.Answer
 		w.trace("%s answers call %s: done %t %s", p.name, a.ID, a.Done, a.Err)
 		if !strings.HasPrefix(a.Err, "no leader") && !strings.HasPrefix(a.Err, "asked again") {
@@ -454,13 +454,13 @@
 				m.Known, m.Done, m.Ended = true, a.Done, w.now
 			}
 		}
-	case council.Retire:
+	case coordination.Retire:
 		w.trace("%s retires: %s", p.name, e.Why)
 		p.disk = newDisk(w.rng)
 		p.step(p.disk.open())
-	case council.Left:
+	case coordination.Left:
 		p.kill()
-	case council.Log:
+	case coordination.Log:
 		w.trace("%s: %s", p.name, e.Text)
 	}
 	return true
@@ -483,8 +483,8 @@
 	}) {
 		clear = append(clear, workorder.Mark{Machine: m.Machine, Grant: m.Grant})
 	}
-	p.step(council.Stopped{Index: p.holds.Index(), Clear: clear})
-	if due := p.holds.Due(); p.alive && due > 0 && due < council.Forever && due != p.wakeAt {
+	p.step(coordination.Stopped{Index: p.holds.Index(), Clear: clear})
+	if due := p.holds.Due(); p.alive && due > 0 && due < coordination.Forever && due != p.wakeAt {
 		p.wakeAt = due
 		d := time.Duration(float64(due-p.clock()) / p.rate)
 		p.later(max(0, d)+time.Microsecond, p.react)
--- a/internal/workplay/play_test.go
+++ b/internal/workplay/play_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lilacglade/internal/council"
+	"lilacglade/internal/coordination"
 	"lilacglade/internal/workorder"
 )
 
@@ -106,7 +106,7 @@
 	for i, c := range calls {
 		op := porcupine.Operation{ClientId: i, Input: c, Call: int64(c.Began), Return: int64(c.Ended)}
 		if !c.Known {
-			op.Return = int64(council.Forever)
+			op.Return = int64(coordination.Forever)
 		}
 		history = append(history, op)
 	}
@@ -128,7 +128,7 @@
 }
 
 // TestGuardsMatter takes one guard out at a time: some schedule must then break a promise, and be found.
-// Guards that only rare schedules need have tests of their own in council.
+// Guards that only rare schedules need have tests of their own in coordination.
 func TestGuardsMatter(t *testing.T) {
 	again := []int{13, 0, 6} // processes that start again, cut off
 	for name, cfg := range map[string]Config{
@@ -136,9 +136,9 @@
 		"clear":      {Seed: 1, Break: NoClear},
 		"disk":       {Seed: 1, Break: ForgetVotes},
 		"cut":        {Seed: 3, Break: NoCut},
-		"lead wait":  {Seed: 25, Without: council.LeadWait},
-		"lease wait": {Seed: 30, Without: council.LeaseWait},
-		"grace wait": {Seed: 318, Without: council.GraceWait},
+		"lead wait":  {Seed: 25, Without: coordination.LeadWait},
+		"lease wait": {Seed: 30, Without: coordination.LeaseWait},
+		"grace wait": {Seed: 318, Without: coordination.GraceWait},
 		"note":       {Seed: 1, Break: ForgetNote, Kinds: again},
 	} {
 		t.Run(name, func(t *testing.T) {
