--- a/internal/agree/agree_test.go
+++ b/internal/consensus/consensus_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"os"
--- a/internal/agree/core.go
+++ b/internal/consensus/core.go
@@ -1,7 +1,8 @@
-// Package agree is a voter's part in the log that the proxies agree on: the pure core of go.etcd.io/raft/v3
-// with what it needs round it, and the disk that keeps its votes. Core has no clock, sockets or files: it
-// takes ticks and messages, and says what to write, then what to send, then what was agreed.
-package agree
+// Package consensus is a voter's part in the log that the proxies agree on: the pure core of
+// go.etcd.io/raft/v3 with what it needs round it, and the disk that keeps its votes. Core has no clock,
+// sockets or files: it takes ticks and messages, and says what to write, then what to send, then what was
+// agreed.
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/agree/rig.go
+++ b/internal/consensus/rig.go
@@ -1,6 +1,6 @@
 //go:build rig
 
-package agree
+package consensus
 
 import (
 	"os"
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/members"
 	"lilacglade/internal/workorder"
 )
@@ -35,7 +35,7 @@
 	Without Guard // taken out; for plays that show what it guards against
 
 	ID, Boot uint64 // of the disk
-	Saved    agree.Saved
+	Saved    consensus.Saved
 	Note     []byte
 }
 
@@ -63,7 +63,7 @@
 	out     []Effect
 	local   [][]byte // messages to itself
 	table   *members.Table
-	core    *agree.Core // nil while there is no disk
+	core    *consensus.Core // nil while there is no disk
 	rep     *replica
 	cluster uint64
 	held    bool // a voter that has started may not vote yet
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/workorder"
 )
 
@@ -230,7 +230,7 @@
 	if b.facts[leader].Until <= b.now {
 		t.Error("no lease while the others have a majority")
 	}
-	b.step(leader, DiskBack{ID: 99, Boot: 1, Saved: agree.Saved{}})
+	b.step(leader, DiskBack{ID: 99, Boot: 1, Saved: consensus.Saved{}})
 	b.pass(8 * time.Second)
 	for _, c := range b.all {
 		if c.Leads() && !slices.Contains(c.core.Voters(), 99) {
--- a/internal/coordination/disk.go
+++ b/internal/coordination/disk.go
@@ -3,12 +3,12 @@
 import (
 	"errors"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/workorder"
 )
 
 // load begins with what is on the disk.
-func (c *Council) load(saved agree.Saved, note []byte) error {
+func (c *Council) load(saved consensus.Saved, note []byte) error {
 	c.rep = &replica{Work: workorder.New(), Voters: map[uint64]Voter{}}
 	c.lead = lead{}
 	if len(note) > 0 {
@@ -19,7 +19,7 @@
 		c.cluster = n.Cluster
 	}
 	c.kept = true
-	core, state, err := agree.Open(c.cfg.ID, saved)
+	core, state, err := consensus.Open(c.cfg.ID, saved)
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/workorder"
 )
 
@@ -13,7 +13,7 @@
 
 type (
 	// Persist is to be on the disk, synced, before what comes behind it is done.
-	Persist struct{ Write *agree.Write }
+	Persist struct{ Write *consensus.Write }
 	// Keep is the same for the note.
 	Keep struct{ Note []byte }
 	// Send has a message sent to a peer; it may be lost. Addr is where it listens, "" if only the name is known.
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/workorder"
 )
 
@@ -41,7 +41,7 @@
 	// DiskBack says that the disk can be written again, and what is on it.
 	DiskBack struct {
 		ID, Boot uint64
-		Saved    agree.Saved
+		Saved    consensus.Saved
 		Note     []byte
 	}
 )
--- a/internal/coordination/log.go
+++ b/internal/coordination/log.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/workorder"
 )
 
@@ -39,13 +39,13 @@
 }
 
 // carry turns what the log wants into effects.
-func (c *Council) carry(out *agree.Out) {
+func (c *Council) carry(out *consensus.Out) {
 	if out.Write != nil {
 		c.do(Persist{out.Write})
 	}
 	for _, m := range out.Messages {
 		if v, ok := c.voter(m.GetTo()); ok {
-			c.send(v.Name, v.Addr, &Envelope{Raft: agree.Marshal(m)})
+			c.send(v.Name, v.Addr, &Envelope{Raft: consensus.Marshal(m)})
 		}
 	}
 	if out.Install != nil {
@@ -67,7 +67,7 @@
 }
 
 // apply takes in an agreed entry.
-func (c *Council) apply(e agree.Entry) {
+func (c *Council) apply(e consensus.Entry) {
 	if c.core == nil {
 		return // given up at an entry before
 	}
@@ -101,7 +101,7 @@
 }
 
 // changed takes in a change of the voters.
-func (c *Council) changed(e agree.Entry) {
+func (c *Council) changed(e consensus.Entry) {
 	var f founding
 	if len(e.Conf) > 0 {
 		if err := workorder.Decode(e.Conf, &f); err != nil {
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -16,7 +16,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/coordination"
 	"lilacglade/internal/holds"
 	"lilacglade/internal/workorder"
@@ -40,7 +40,7 @@
 	now     func() time.Duration
 	facts   func(f holds.Facts[lg.ServerID], own uint64)
 	ln      net.Listener
-	disk    *agree.Disk
+	disk    *consensus.Disk
 	council *coordination.Council
 	events  chan coordination.Event
 	done    chan struct{}
@@ -76,7 +76,7 @@
 
 // Start opens the disk and the socket and takes part from then on.
 func Start(cfg Config, o Options) (*Node, error) {
-	disk, err := agree.OpenDisk(cfg.Dir)
+	disk, err := consensus.OpenDisk(cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("peers: dir: %w", err)
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	n.retryAt = time.Now().Add(retryDisk)
-	disk, err := agree.ReopenDisk(n.cfg.Dir)
+	disk, err := consensus.ReopenDisk(n.cfg.Dir)
 	if err != nil {
 		return
 	}
@@ -190,7 +190,7 @@
 	n.step(back(disk))
 }
 
-func back(d *agree.Disk) coordination.DiskBack {
+func back(d *consensus.Disk) coordination.DiskBack {
 	return coordination.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
 }
 
--- a/internal/workplay/disk.go
+++ b/internal/workplay/disk.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"lilacglade/internal/agree"
+	"lilacglade/internal/consensus"
 	"lilacglade/internal/coordination"
 
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -24,7 +24,7 @@
 
 func newDisk(rng *rand.Rand) *disk { return &disk{id: rng.Uint64()>>1 + 1} }
 
-func (d *disk) write(w *agree.Write) bool {
+func (d *disk) write(w *consensus.Write) bool {
 	if d.full {
 		return false
 	}
