--- a/internal/holds/holds.go
+++ b/internal/fencing/fencing.go
@@ -1,6 +1,6 @@
-// Package holds is what a proxy may send to while machines are taken out for work: pure, asked before every
+// Package fencing is what a proxy may send to while machines are taken out for work: pure, asked before every
 // event. Facts come from the council; that a lease has run out it sees by itself, however late it is asked.
-package holds
+package fencing
 
 import (
 	"slices"
--- a/internal/holds/holds_test.go
+++ b/internal/fencing/fencing_test.go
@@ -1,4 +1,4 @@
-package holds
+package fencing
 
 import (
 	"testing"
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -18,7 +18,7 @@
 	lg "lilacglade"
 	"lilacglade/internal/consensus"
 	"lilacglade/internal/coordination"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 	"lilacglade/internal/workorder"
 )
 
@@ -38,7 +38,7 @@
 	name    string
 	id      func(string) lg.ServerID
 	now     func() time.Duration
-	facts   func(f holds.Facts[lg.ServerID], own uint64)
+	facts   func(f fencing.Facts[lg.ServerID], own uint64)
 	ln      net.Listener
 	disk    *consensus.Disk
 	council *coordination.Council
@@ -71,7 +71,7 @@
 	ID        func(instance string) lg.ServerID // the number of a machine
 	// Facts gets what holds, from the node's own goroutine. Own is the grant by which this proxy's own machine
 	// is to go out; 0: it isn't.
-	Facts func(f holds.Facts[lg.ServerID], own uint64)
+	Facts func(f fencing.Facts[lg.ServerID], own uint64)
 }
 
 // Start opens the disk and the socket and takes part from then on.
@@ -269,7 +269,7 @@
 
 // tell hands the facts to the reducer, by the machines' numbers.
 func (n *Node) tell(e coordination.Facts) {
-	f := holds.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
+	f := fencing.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
 	names := map[lg.ServerID]string{}
 	own := uint64(0)
 	for _, m := range e.Marked {
@@ -281,7 +281,7 @@
 		}
 		id := n.id(m.Machine)
 		names[id] = m.Machine
-		f.Marked = append(f.Marked, holds.Mark[lg.ServerID]{Machine: id, Grant: m.Grant})
+		f.Marked = append(f.Marked, fencing.Mark[lg.ServerID]{Machine: id, Grant: m.Grant})
 	}
 	for _, m := range e.Named {
 		if !workorder.IsProxy(m) {
@@ -296,7 +296,7 @@
 
 // Stopped takes what the reducer says.
 // Own is the grant by which this proxy's own machine goes out and nothing is open here any more; 0: it isn't.
-func (n *Node) Stopped(index uint64, clear []holds.Mark[lg.ServerID], own uint64) {
+func (n *Node) Stopped(index uint64, clear []fencing.Mark[lg.ServerID], own uint64) {
 	ev := coordination.Stopped{Index: index}
 	if own > 0 {
 		ev.Clear = append(ev.Clear, workorder.Mark{Machine: workorder.ProxyID(n.name), Grant: own})
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 )
 
 const good = `listen: 127.0.0.1:1
@@ -65,7 +65,7 @@
 		ReplaceAfter: time.Minute}
 	began, leased := time.Now(), make(chan bool, 1)
 	n, err := Start(cfg, Options{Name: "n0", Now: func() time.Duration { return time.Since(began) },
-		ID: func(string) lg.ServerID { return 1 }, Facts: func(f holds.Facts[lg.ServerID], _ uint64) {
+		ID: func(string) lg.ServerID { return 1 }, Facts: func(f fencing.Facts[lg.ServerID], _ uint64) {
 			if f.Until > 0 {
 				select {
 				case leased <- true:
--- a/internal/reducer/work.go
+++ b/internal/reducer/work.go
@@ -5,7 +5,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 	"lilacglade/internal/hotkeys"
 )
 
@@ -15,7 +15,7 @@
 // Settled brings what the proxies have settled among themselves about machines that are taken out for work.
 // Own is the grant by which this proxy's own machine is to go out; 0: it isn't.
 type Settled struct {
-	Facts holds.Facts[lg.ServerID]
+	Facts fencing.Facts[lg.ServerID]
 	Own   uint64
 }
 
@@ -25,13 +25,13 @@
 // the machines of Clear, of these grants.
 type Stopped struct {
 	Index uint64
-	Clear []holds.Mark[lg.ServerID]
+	Clear []fencing.Mark[lg.ServerID]
 	Own   uint64 // nothing is open here any more, of this grant of the proxy's own machine
 }
 
 // work is the machines that other proxies, too, take out for work. With no peers there is none.
 type work struct {
-	set    *holds.Set[lg.ServerID]
+	set    *fencing.Set[lg.ServerID]
 	listed map[lg.ServerID]lg.Server // as discovery lists them
 	held   map[lg.ServerID]bool      // what the module and the pool were told to be draining for it
 	told   Stopped                   // last
@@ -43,7 +43,7 @@
 }
 
 func newWork() *work {
-	return &work{set: holds.New[lg.ServerID](), listed: map[lg.ServerID]lg.Server{},
+	return &work{set: fencing.New[lg.ServerID](), listed: map[lg.ServerID]lg.Server{},
 		held: map[lg.ServerID]bool{}}
 }
 
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/work_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 )
 
 // settleWork is a State that knows three machines, and a way to step it.
@@ -56,8 +56,8 @@
 	if s.Ready() || s.reaches(step, 1, now, &leg) {
 		t.Error("served before the first lease")
 	}
-	f := holds.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
-		Grace: time.Second, Marked: []holds.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
+	f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
+		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
 	step(Settled{Facts: f}, now)
 	if !s.Ready() || s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
 		t.Error("a marked machine gets requests, or a named one none")
@@ -85,7 +85,7 @@
 	for _, tc := range []struct{ relist, lapse bool }{{false, false}, {true, false}, {false, true}} {
 		s, step := settleWork(t)
 		now := time.Hour
-		f := holds.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
+		f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
 			Grace: time.Second}
 		step(Settled{Facts: f}, now)
 		step(CallerOpened{1}, now)
@@ -98,7 +98,7 @@
 		}
 		step(HopDialed{Leg: hop, OK: true}, now)
 		step(HopWritten{Leg: hop, OK: true}, now)
-		f.Index, f.Marked = 4, []holds.Mark[lg.ServerID]{{Machine: at, Grant: 4}}
+		f.Index, f.Marked = 4, []fencing.Mark[lg.ServerID]{{Machine: at, Grant: 4}}
 		step(Settled{Facts: f}, now)
 		if tc.relist {
 			step(ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at, State: lg.Gone}}}}, now)
@@ -138,7 +138,7 @@
 func TestOwnMachineGoesOut(t *testing.T) {
 	s, step := settleWork(t)
 	now := time.Hour
-	f := holds.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
+	f := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
 	step(Settled{Facts: f}, now)
 	step(CallerOpened{1}, now)
 	step(CallerOpened{2}, now)
@@ -196,7 +196,7 @@
 	if s.work != nil {
 		t.Error("there is something to look at")
 	}
-	for _, e := range s.Step(time.Hour, Settled{Facts: holds.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
+	for _, e := range s.Step(time.Hour, Settled{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
 		if e.Do == Stop {
 			t.Error("facts were taken in")
 		}
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -7,7 +7,7 @@
 	"github.com/cloudwego/netpoll"
 
 	lg "lilacglade"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 	"lilacglade/internal/serverlist"
 )
 
@@ -97,7 +97,7 @@
 	easing   struct{ leg *leg }
 	allTold  struct{}
 	settled  struct {
-		facts holds.Facts[lg.ServerID]
+		facts fencing.Facts[lg.ServerID]
 		own   uint64
 	}
 	failed struct{ err error }
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -7,7 +7,7 @@
 
 	lg "lilacglade"
 	"lilacglade/internal/coordination"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 	"lilacglade/internal/peers"
 	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
@@ -29,7 +29,7 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.set.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(f holds.Facts[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
+		Facts: func(f fencing.Facts[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
 	return err
 }
 
--- a/internal/workplay/play.go
+++ b/internal/workplay/play.go
@@ -1,5 +1,5 @@
 // Package workplay plays the proxies that settle who goes out for work in virtual time: the real coordination
-// and holds of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed.
+// and fencing of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed.
 // What happens is held against workorder.Judge, which judges real processes too.
 package workplay
 
@@ -15,7 +15,7 @@
 	"time"
 
 	"lilacglade/internal/coordination"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/fencing"
 	"lilacglade/internal/workorder"
 )
 
@@ -135,7 +135,7 @@
 	rate     float64
 	offset   time.Duration
 	council  *coordination.Council
-	holds    *holds.Set[string]
+	holds    *fencing.Set[string]
 	disk     *disk
 	old      *disk
 	aged     bool // it had an older disk once: the library may find out
@@ -297,7 +297,7 @@
 		w.report.Fault = fmt.Errorf("%s does not start: %w", p.name, err)
 		return
 	}
-	p.council, p.holds, p.open = c, holds.New[string](), map[string]int{}
+	p.council, p.holds, p.open = c, fencing.New[string](), map[string]int{}
 	p.flights = nil
 	p.alive, p.paused, p.left, p.backlog = true, false, false, nil
 	p.seenWork, p.killAt, p.wakeAt = 0, 0, 0
@@ -427,9 +427,9 @@
 	case coordination.Send:
 		w.deliver(p.name, e.To, e.Raw)
 	case coordination.Facts:
-		f := holds.Facts[string]{Index: e.Index, Named: e.Named, Until: e.Until, Grace: e.Grace}
+		f := fencing.Facts[string]{Index: e.Index, Named: e.Named, Until: e.Until, Grace: e.Grace}
 		for _, m := range e.Marked {
-			f.Marked = append(f.Marked, holds.Mark[string]{Machine: m.Machine, Grant: m.Grant})
+			f.Marked = append(f.Marked, fencing.Mark[string]{Machine: m.Machine, Grant: m.Grant})
 		}
 		if w.cfg.Break == NoLapse && f.Until > 0 {
 			f.Until = coordination.Forever
