--- a/internal/coordination/calls.go
+++ b/internal/coordination/calls.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Times and bounds of operators' calls.
@@ -31,9 +31,9 @@
 }
 
 // operators may ask for these entries.
-var operators = map[workorder.Kind]bool{workorder.Submit: true, workorder.Pause: true, workorder.Resume: true,
-	workorder.Cancel: true, workorder.SetOut: true, workorder.Return: true, workorder.Forget: true,
-	workorder.Fail: true}
+var operators = map[maintenance.Kind]bool{maintenance.Submit: true, maintenance.Pause: true,
+	maintenance.Resume: true, maintenance.Cancel: true, maintenance.SetOut: true, maintenance.Return: true,
+	maintenance.Forget: true, maintenance.Fail: true}
 
 // ask takes an operators' call.
 func (c *Council) ask(ev Asked) {
@@ -131,7 +131,7 @@
 			c.reply(a, Answer{ID: a.call.ID, Err: err.Error()})
 			return
 		}
-		a.call.Command = &workorder.Command{Kind: workorder.Submit, Order: o}
+		a.call.Command = &maintenance.Command{Kind: maintenance.Submit, Order: o}
 	case a.call.Command == nil || !operators[a.call.Command.Kind]:
 		c.reply(a, Answer{ID: a.call.ID, Err: "no such call"})
 		return
@@ -158,7 +158,7 @@
 func (c *Council) replyStatus(to *asked) {
 	a := Answer{ID: to.call.ID, Done: true, Status: c.Status()}
 	if to.call.Whole {
-		a.State = workorder.Encode(c.rep.Work)
+		a.State = maintenance.Encode(c.rep.Work)
 	}
 	c.reply(to, a)
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lilacglade/internal/consensus"
+	"lilacglade/internal/maintenance"
 	"lilacglade/internal/members"
-	"lilacglade/internal/workorder"
 )
 
 // TickEvery is the time between two Ticks.
@@ -30,7 +30,8 @@
 	ReplaceAfter time.Duration
 	WarmAfter    time.Duration // a machine that came back is done then
 	AloneAfter   time.Duration // without a lease the proxy serves after this, against the promise; 0: never
-	Level        uint64        // what this program understands; 0: workorder.LevelNow. For plays of two versions
+	// what this program understands; 0: maintenance.LevelNow. For plays of two versions
+	Level uint64
 
 	Without Guard // taken out; for plays that show what it guards against
 
@@ -77,7 +78,7 @@
 	party  party
 	lead   lead
 	calls  map[string]*pending
-	seen   map[string]workorder.Seen // the machines as discovery lists them
+	seen   map[string]maintenance.Seen // the machines as discovery lists them
 	seenAt time.Duration
 
 	Foreign uint64 // messages that were not understood, or not for this one
@@ -88,13 +89,13 @@
 	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)), table: members.New(cfg.ReplaceAfter),
 		blank: map[string]time.Duration{}, calls: map[string]*pending{}, agreed: map[string]bool{}}
 	c.party = party{sentAt: map[uint64]time.Duration{}, every: joinEvery}
-	c.cfg.Level = cmp.Or(cfg.Level, workorder.LevelNow)
+	c.cfg.Level = cmp.Or(cfg.Level, maintenance.LevelNow)
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
 		return c, err
 	}
 	var n Note
-	if len(cfg.Note) > 0 && workorder.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
-		c.cfg.Level >= workorder.LevelResume {
+	if len(cfg.Note) > 0 && maintenance.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
+		c.cfg.Level >= maintenance.LevelResume {
 		c.resume, c.from = &n, n.Index
 	}
 	return c, nil
@@ -153,7 +154,7 @@
 }
 
 // Work is the state that this proxy holds of the log; it lags behind the leader's. Nobody changes it.
-func (c *Council) Work() *workorder.State { return c.rep.Work }
+func (c *Council) Work() *maintenance.State { return c.rep.Work }
 
 // Leads tells whether this proxy leads, as far as it knows.
 func (c *Council) Leads() bool { return c.leads() }
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lilacglade/internal/consensus"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // table is a few councils and the messages between them, which arrive at once unless a test cuts them off.
@@ -121,10 +121,10 @@
 // order has machine m0 named.
 func (b *table) order(most int) {
 	for name := range b.all {
-		b.step(name, Inventory{[]workorder.Seen{{Machine: workorder.Machine{ID: "m0"}, Ready: true},
-			{Machine: workorder.Machine{ID: "m1"}, Ready: true}}})
+		b.step(name, Inventory{[]maintenance.Seen{{Machine: maintenance.Machine{ID: "m0"}, Ready: true},
+			{Machine: maintenance.Machine{ID: "m1"}, Ready: true}}})
 	}
-	b.step("p0", Asked{1, Call{ID: "c", Spec: &workorder.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
+	b.step("p0", Asked{1, Call{ID: "c", Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
 }
 
 // TestLeaseCountsFromItsCall guards against a lease that counts from when its answer came: the leader takes
@@ -176,14 +176,14 @@
 	b.order(1)
 	b.pass(3 * time.Second)
 	w := b.all[leader].Work().Active("m0")
-	if w == nil || w.Named == 0 || w.Step != workorder.Waiting {
+	if w == nil || w.Named == 0 || w.Step != maintenance.Waiting {
 		t.Fatalf("m0 is %+v while no reducer keeps to it", w)
 	}
 	for name, f := range b.facts {
 		b.step(name, Stopped{Index: f.Index})
 	}
 	b.pass(2 * time.Second)
-	if w := b.all[leader].Work().Active("m0"); w.Step == workorder.Waiting {
+	if w := b.all[leader].Work().Active("m0"); w.Step == maintenance.Waiting {
 		t.Error("never granted")
 	}
 }
@@ -194,7 +194,7 @@
 	b.ready()
 	c := b.all["p1"]
 	good := Envelope{Version: 1, From: "p0", Inc: 1, ID: 1, Boot: 1, To: "p1", Cluster: c.cluster,
-		Lease: &Lease{Index: 1 << 40, Marked: []workorder.Mark{{Machine: "m9", Grant: 1}}}}
+		Lease: &Lease{Index: 1 << 40, Marked: []maintenance.Mark{{Machine: "m9", Grant: 1}}}}
 	bad := [][]byte{nil, []byte("GET / HTTP/1.1\r\n\r\n"), make([]byte, 3000),
 		[]byte(strings.Repeat("\xff", 99))}
 	for _, spoil := range []func(e *Envelope){
@@ -207,7 +207,7 @@
 	} {
 		e := good
 		spoil(&e)
-		bad = append(bad, workorder.Encode(e))
+		bad = append(bad, maintenance.Encode(e))
 	}
 	for i, raw := range bad {
 		before, facts := c.Foreign, b.facts["p1"]
@@ -253,19 +253,19 @@
 		b.start("p3")
 		b.cut = func(_, to string) bool { return to == "p3" }
 		b.pass(3 * time.Second)
-		taken := b.all[leader].Work().Parties[workorder.Key("p3", 99)]
+		taken := b.all[leader].Work().Parties[maintenance.Key("p3", 99)]
 		if f := b.facts["p3"]; f.Until != 1 || f.Index == 0 || taken == nil {
 			t.Fatalf("without guard %d: goes on by %+v, or was not taken in", without, f)
 		}
 		b.pass(15 * time.Second)
 		w := b.all[leader].Work().Active("m0")
-		if granted := w == nil || w.Step != workorder.Waiting; granted != (without == FromTold) ||
+		if granted := w == nil || w.Step != maintenance.Waiting; granted != (without == FromTold) ||
 			slices.Contains(b.facts["p3"].Named, "m0") {
 			t.Errorf("without guard %d: m0 is %+v, p3 holds %v", without, w, b.facts["p3"].Named)
 		}
 		b.cut = func(_, _ string) bool { return false }
 		b.pass(15 * time.Second)
-		if w := b.all[leader].Work().Active("m0"); w != nil && w.Step == workorder.Waiting {
+		if w := b.all[leader].Work().Active("m0"); w != nil && w.Step == maintenance.Waiting {
 			t.Errorf("without guard %d: never granted", without)
 		}
 	}
@@ -295,7 +295,7 @@
 // until it is upgraded, and then it can't be gone back to.
 func TestTwoVersions(t *testing.T) {
 	for _, without := range []Guard{None, LevelWait} {
-		b := newTable(t, 4, without, 0, 0, workorder.LevelFirst)
+		b := newTable(t, 4, without, 0, 0, maintenance.LevelFirst)
 		b.pass(10 * time.Second)
 		leased := b.facts["p2"].Until > b.now
 		if said := strings.Count(b.logs["p2"], ErrLater.Error()); leased != (without == None) || said > 1 ||
@@ -305,15 +305,15 @@
 		if without != None {
 			continue
 		}
-		b.set("p2", func(c *Config) { c.Inc, c.ID, c.Level = 99, 99, workorder.LevelNow }) // its disk is new, too
+		b.set("p2", func(c *Config) { c.Inc, c.ID, c.Level = 99, 99, maintenance.LevelNow }) // its disk is new, too
 		b.start("p2")
 		b.pass(20 * time.Second)
 		for name, c := range b.all {
-			if name != "p3" && c.Work().Level != workorder.LevelNow || b.facts[name].Until <= b.now {
+			if name != "p3" && c.Work().Level != maintenance.LevelNow || b.facts[name].Until <= b.now {
 				t.Errorf("%s is at level %d with a lease until %v", name, c.Work().Level, b.facts[name].Until-b.now)
 			}
 		}
-		b.set("p3", func(c *Config) { c.Inc, c.Level = 99, workorder.LevelFirst })
+		b.set("p3", func(c *Config) { c.Inc, c.Level = 99, maintenance.LevelFirst })
 		b.start("p3")
 		b.pass(5 * time.Second)
 		if b.facts["p3"].Until != 0 {
@@ -387,7 +387,7 @@
 	b.cut = func(from, to string) bool { return from == "p2" || to == "p2" }
 	b.step("p2", Leaving{})
 	b.pass(time.Second)
-	b.step("p2", Received{workorder.Encode(Envelope{Version: 1, From: leader, Inc: b.all[leader].cfg.Inc,
+	b.step("p2", Received{maintenance.Encode(Envelope{Version: 1, From: leader, Inc: b.all[leader].cfg.Inc,
 		To: "p2", Cluster: c.cluster, Lease: &Lease{Seq: c.party.seq, Retire: true, Leader: leader}})})
 	if c.core == nil || c.cluster == 0 {
 		t.Error("a proxy that leaves gives up its disk")
--- a/internal/coordination/disk.go
+++ b/internal/coordination/disk.go
@@ -4,16 +4,16 @@
 	"errors"
 
 	"lilacglade/internal/consensus"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // load begins with what is on the disk.
 func (c *Council) load(saved consensus.Saved, note []byte) error {
-	c.rep = &replica{Work: workorder.New(), Voters: map[uint64]Voter{}}
+	c.rep = &replica{Work: maintenance.New(), Voters: map[uint64]Voter{}}
 	c.lead = lead{}
 	if len(note) > 0 {
 		var n Note
-		if err := workorder.Decode(note, &n); err != nil {
+		if err := maintenance.Decode(note, &n); err != nil {
 			return err
 		}
 		c.cluster = n.Cluster
@@ -36,7 +36,7 @@
 
 func (c *Council) install(state []byte) error {
 	rep := &replica{}
-	if err := workorder.Decode(state, rep); err != nil {
+	if err := maintenance.Decode(state, rep); err != nil {
 		return err
 	}
 	if rep.Work == nil {
@@ -92,14 +92,14 @@
 func (c *Council) keep() {
 	n := Note{Cluster: c.cluster}
 	switch p := &c.party; {
-	case p.leaving || p.level < workorder.LevelResume && c.resume == nil:
+	case p.leaving || p.level < maintenance.LevelResume && c.resume == nil:
 	case p.index == 0 && c.resume != nil: // nothing was heard yet: an earlier process's words still hold
 		n = *c.resume
 		n.Cluster = c.cluster
 	default:
 		n.Index, n.Named, n.Grace = p.index, p.named, p.grace
 	}
-	c.do(Keep{workorder.Encode(n)})
+	c.do(Keep{maintenance.Encode(n)})
 }
 
 // ErrLater is of a log that this program is too old for.
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"lilacglade/internal/consensus"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Effect is something to do: a Persist, Keep, Send, Facts, Reply, Retire, Left or Log. If a Persist or Keep
@@ -24,9 +24,9 @@
 	// Facts tells the reducer what holds now.
 	Facts struct {
 		Index  uint64
-		Marked []workorder.Mark // nothing new there
-		Named  []string         // nothing new there from Until on, and nothing at all Grace later
-		Until  time.Duration    // on the clock of now; 0: no lease yet, nothing new anywhere
+		Marked []maintenance.Mark // nothing new there
+		Named  []string           // nothing new there from Until on, and nothing at all Grace later
+		Until  time.Duration      // on the clock of now; 0: no lease yet, nothing new anywhere
 		Grace  time.Duration
 	}
 	// Reply ends an Asked.
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -2,7 +2,7 @@
 
 import (
 	"lilacglade/internal/consensus"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Event is something that happened: a Tick, Received, Asked, Stopped, Inventory, Load, Leaving or DiskLost.
@@ -22,10 +22,10 @@
 	// these grants.
 	Stopped struct {
 		Index uint64
-		Clear []workorder.Mark
+		Clear []maintenance.Mark
 	}
 	// Inventory is the machines as discovery lists them now.
-	Inventory struct{ Machines []workorder.Seen }
+	Inventory struct{ Machines []maintenance.Seen }
 	// Load counts requests since the last Load, those that are in work at machines now, and what was measured.
 	Load struct {
 		Handled, Refused uint64
--- a/internal/coordination/exchange.go
+++ b/internal/coordination/exchange.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
+	"lilacglade/internal/maintenance"
 	"lilacglade/internal/members"
-	"lilacglade/internal/workorder"
 )
 
 // send has an envelope sent, to itself too.
@@ -11,7 +11,7 @@
 	if e.Addr, e.Cluster = c.cfg.Addr, c.cluster; c.core != nil {
 		e.ID, e.Boot = c.cfg.ID, c.cfg.Boot
 	}
-	raw := workorder.Encode(e)
+	raw := maintenance.Encode(e)
 	if to == c.cfg.Name {
 		c.local = append(c.local, raw)
 		return
@@ -22,7 +22,7 @@
 // received takes a message. What is not understood, or from another log, is counted and changes nothing.
 func (c *Council) received(raw []byte) {
 	var e Envelope
-	if err := workorder.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" ||
+	if err := maintenance.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" ||
 		e.Inc == 0 || e.To != c.cfg.Name {
 		c.Foreign++
 		return
--- a/internal/coordination/facts.go
+++ b/internal/coordination/facts.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // resumeAfter: without a lease for so long, what the disk knew is gone by.
@@ -31,7 +31,7 @@
 // known notes up to where this party may say that it knows the state: its reducer keeps to it, and the disk
 // knows what is named.
 func (c *Council) known() {
-	if p := &c.party; c.kept || p.level < workorder.LevelResume {
+	if p := &c.party; c.kept || p.level < maintenance.LevelResume {
 		p.knows = max(p.knows, min(p.reducer, p.index))
 	}
 }
--- a/internal/coordination/founding.go
+++ b/internal/coordination/founding.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 const (
@@ -41,7 +41,7 @@
 	c.adopt(c.rng.Uint64() | 1)
 	self := Voter{c.cfg.ID, c.cfg.Name, c.cfg.Addr}
 	c.rep.Voters[self.ID] = self
-	if err := c.core.Found(workorder.Encode(founding{c.cluster, []Voter{self}})); err != nil {
+	if err := c.core.Found(maintenance.Encode(founding{c.cluster, []Voter{self}})); err != nil {
 		c.do(Log{"founding: " + err.Error()})
 		return
 	}
--- a/internal/coordination/lead.go
+++ b/internal/coordination/lead.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 const (
@@ -18,9 +18,9 @@
 	since   time.Duration // this lead
 	renewed map[string]time.Duration
 	said    map[string]*said
-	joins   []workorder.Command // parties that come and go, to be proposed
-	knows   []workorder.Note
-	clears  []workorder.Note
+	joins   []maintenance.Command // parties that come and go, to be proposed
+	knows   []maintenance.Note
+	clears  []maintenance.Note
 	nonce   uint64 // of the proposal that is out; 0: none
 	propAt  time.Duration
 	want    []renewer // to be answered once a majority has confirmed the lead
@@ -90,24 +90,24 @@
 	b := batch{Nonce: c.rng.Uint64() | 1}
 	b.Commands = append(b.Commands, l.joins...)
 	if n := min(len(l.knows), mostNotes); n > 0 {
-		b.Commands = append(b.Commands, workorder.Command{Kind: workorder.Know, Notes: l.knows[:n]})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Know, Notes: l.knows[:n]})
 	}
 	if n := min(len(l.clears), mostNotes); n > 0 {
-		b.Commands = append(b.Commands, workorder.Command{Kind: workorder.Clear, Notes: l.clears[:n]})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Notes: l.clears[:n]})
 	}
 	for _, a := range l.asked {
 		b.Commands = append(b.Commands, *a.call.Command)
 	}
-	if level := c.understood(); level > max(workorder.LevelFirst, c.rep.Work.Level) {
-		b.Commands = append(b.Commands, workorder.Command{Kind: workorder.Raise, Index: level})
+	if level := c.understood(); level > max(maintenance.LevelFirst, c.rep.Work.Level) {
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Raise, Index: level})
 	}
-	if next := c.rep.Work.Next(c.view()); next.Kind != workorder.Nothing {
+	if next := c.rep.Work.Next(c.view()); next.Kind != maintenance.Nothing {
 		b.Commands = append(b.Commands, next)
 	}
 	if len(b.Commands) == 0 {
 		return did
 	}
-	if err := c.core.Propose(workorder.Encode(b)); err != nil {
+	if err := c.core.Propose(maintenance.Encode(b)); err != nil {
 		return did // what is still wanted is proposed again
 	}
 	l.joins, l.knows, l.clears = nil, nil, nil // what didn't fit is said again with the next renewals
@@ -121,10 +121,10 @@
 // Guards against an entry that counts with some and is turned down by others: their states would differ.
 func (c *Council) understood() uint64 {
 	if c.cfg.Without == LevelWait {
-		return workorder.LevelNow
+		return maintenance.LevelNow
 	}
 	if len(c.rep.Voters) < len(c.cfg.Founders) || c.core.Changing() {
-		return workorder.LevelFirst // who gets a vote next may understand less
+		return maintenance.LevelFirst // who gets a vote next may understand less
 	}
 	least := c.cfg.Level
 	level := func(name string, inc, id uint64) {
@@ -132,7 +132,7 @@
 			return
 		}
 		if m := c.table.Get(name); m == nil || inc != 0 && m.Inc != inc || id != 0 && m.ID != id {
-			least = min(least, workorder.LevelFirst)
+			least = min(least, maintenance.LevelFirst)
 		} else {
 			least = min(least, m.Level)
 		}
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Times of leases, by the leader's clock.
@@ -73,7 +73,7 @@
 	if !c.mayRenew(e) {
 		return
 	}
-	r, key := e.Renew, workorder.Key(e.From, e.Inc)
+	r, key := e.Renew, maintenance.Key(e.From, e.Inc)
 	c.lead.said[key] = &said{c.now, r.Handled, r.Refused, r.Avoids, r.Hot, r.Busy}
 	c.measured(key, r.Rooms)
 	c.noteKnown(key, r.Knows)
@@ -103,7 +103,7 @@
 // do instead: the party is taken in, or leaves, or is told why it gets none.
 func (c *Council) mayRenew(e *Envelope) bool {
 	r, work := e.Renew, c.rep.Work
-	p := work.Parties[workorder.Key(e.From, e.Inc)]
+	p := work.Parties[maintenance.Key(e.From, e.Inc)]
 	answer := func(l *Lease) {
 		l.Seq, l.Leader = r.Seq, c.cfg.Name
 		c.send(e.From, e.Addr, &Envelope{Lease: l})
@@ -112,7 +112,7 @@
 	case r.Leaving && p == nil:
 		answer(&Lease{Left: true})
 	case r.Leaving:
-		c.joining(workorder.Command{Kind: workorder.Leave, Name: e.From, Inc: e.Inc})
+		c.joining(maintenance.Command{Kind: maintenance.Leave, Name: e.From, Inc: e.Inc})
 	case p == nil && e.ID != 0 && b.ID == e.ID && b.Boot >= e.Boot:
 		answer(&Lease{Retire: true})
 	case uint64(e.Version) < work.Level:
@@ -133,39 +133,39 @@
 }
 
 // joinOf is the entry that takes in the party of a renewal.
-func (c *Council) joinOf(e *Envelope) workorder.Command {
-	p := &workorder.Party{Name: e.From, Inc: e.Inc, Addr: e.Addr, Grace: e.Renew.Grace, ID: e.ID, Boot: e.Boot}
-	if e.Renew.From > 0 && c.rep.Work.Level >= workorder.LevelResume {
+func (c *Council) joinOf(e *Envelope) maintenance.Command {
+	p := &maintenance.Party{Name: e.From, Inc: e.Inc, Addr: e.Addr, Grace: e.Renew.Grace, ID: e.ID, Boot: e.Boot}
+	if e.Renew.From > 0 && c.rep.Work.Level >= maintenance.LevelResume {
 		p.Resumed, p.Knows = true, e.Renew.From
 	}
-	return workorder.Command{Kind: workorder.Join, Party: p}
+	return maintenance.Command{Kind: maintenance.Join, Party: p}
 }
 
 // noteKnown has it agreed on that a party knows the state, where that is new for a machine in work.
 func (c *Council) noteKnown(key string, knows uint64) {
 	p := c.rep.Work.Parties[key]
-	news := func(w *workorder.Work) bool {
+	news := func(w *maintenance.Work) bool {
 		return !w.Step.Ended() && w.Named > p.Known() && w.Named <= knows
 	}
 	if slices.ContainsFunc(c.rep.Work.Works, news) {
-		c.lead.knows = append(c.lead.knows, workorder.Note{Party: key, Index: knows})
+		c.lead.knows = append(c.lead.knows, maintenance.Note{Party: key, Index: knows})
 	}
 }
 
 // noteClear has it agreed on at which machines a party has nothing any more.
-func (c *Council) noteClear(key string, marks []workorder.Mark) {
+func (c *Council) noteClear(key string, marks []maintenance.Mark) {
 	for _, m := range marks {
 		w := c.rep.Work.Active(m.Machine)
 		if w != nil && w.Granted == m.Grant && !w.Clear[key] &&
-			(w.Step == workorder.Granted || w.Step == workorder.Draining) {
-			c.lead.clears = append(c.lead.clears, workorder.Note{Party: key, Index: m.Grant, Machine: m.Machine})
+			(w.Step == maintenance.Granted || w.Step == maintenance.Draining) {
+			c.lead.clears = append(c.lead.clears, maintenance.Note{Party: key, Index: m.Grant, Machine: m.Machine})
 		}
 	}
 }
 
 // joining notes a party's coming or going, once.
-func (c *Council) joining(cmd workorder.Command) {
-	same := func(o workorder.Command) bool {
+func (c *Council) joining(cmd maintenance.Command) {
+	same := func(o maintenance.Command) bool {
 		return o.Kind == cmd.Kind && (o.Party != nil && cmd.Party != nil && o.Party.Key() == cmd.Party.Key() ||
 			o.Party == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
 	}
@@ -203,7 +203,7 @@
 
 // grantLease has a party's lease go on.
 func (c *Council) grantLease(r renewer) {
-	key := workorder.Key(r.from, r.inc)
+	key := maintenance.Key(r.from, r.inc)
 	p := c.rep.Work.Parties[key]
 	if p == nil || p.Gone {
 		return
@@ -236,7 +236,7 @@
 	}
 	c.lead.pushAt = work.Index
 	l := c.state()
-	what := string(workorder.Encode([]any{l.Named, l.Marked}))
+	what := string(maintenance.Encode([]any{l.Named, l.Marked}))
 	if what == c.lead.pushed {
 		return
 	}
--- a/internal/coordination/log.go
+++ b/internal/coordination/log.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"lilacglade/internal/consensus"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // settle does what the log wants done, and what this one has to say to itself.
@@ -22,7 +22,7 @@
 		if c.core == nil {
 			continue
 		}
-		out, err := c.core.Next(func() []byte { return workorder.Encode(c.rep) })
+		out, err := c.core.Next(func() []byte { return maintenance.Encode(c.rep) })
 		if err != nil {
 			c.core = nil
 			c.do(Retire{err.Error()})
@@ -79,12 +79,12 @@
 		return
 	}
 	var b batch
-	if err := workorder.Decode(e.Data, &b); err != nil {
+	if err := maintenance.Decode(e.Data, &b); err != nil {
 		c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		return
 	}
-	if slices.ContainsFunc(b.Commands, func(cmd workorder.Command) bool {
-		return cmd.Kind == workorder.Raise && cmd.Index > c.cfg.Level
+	if slices.ContainsFunc(b.Commands, func(cmd maintenance.Command) bool {
+		return cmd.Kind == maintenance.Raise && cmd.Index > c.cfg.Level
 	}) {
 		c.tooOld()
 		return
@@ -104,7 +104,7 @@
 func (c *Council) changed(e consensus.Entry) {
 	var f founding
 	if len(e.Conf) > 0 {
-		if err := workorder.Decode(e.Conf, &f); err != nil {
+		if err := maintenance.Decode(e.Conf, &f); err != nil {
 			c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		}
 	}
--- a/internal/coordination/messages.go
+++ b/internal/coordination/messages.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // firstVersion is the least that a message may say it speaks; one that speaks a later one is understood as
-// far as it goes, and what the log may say follows from the least of all (workorder.LevelNow).
+// far as it goes, and what the log may say follows from the least of all (maintenance.LevelNow).
 const firstVersion = 1
 
 // Envelope is one message between proxies. Exactly one of the pointers is set, or Raft.
@@ -41,19 +41,20 @@
 
 // Renew asks for a lease.
 type Renew struct {
-	Seq     uint64           `cbor:"1,keyasint"`
-	Knows   uint64           `cbor:"2,keyasint"` // the state it knows
-	Clear   []workorder.Mark `cbor:"3,keyasint,omitempty"`
-	Grace   time.Duration    `cbor:"4,keyasint"`
-	Leaving bool             `cbor:"5,keyasint,omitempty"`  // it has stopped, and has nothing open anywhere
-	Handled uint64           `cbor:"6,keyasint,omitempty"`  // requests since the call before
-	Refused uint64           `cbor:"7,keyasint,omitempty"`  // of them
-	Avoids  []string         `cbor:"8,keyasint,omitempty"`  // machines that it has set aside
-	Heard   uint64           `cbor:"9,keyasint,omitempty"`  // the last call that was answered
-	From    uint64           `cbor:"10,keyasint,omitempty"` // until its first lease it may go by the state then
-	Busy    float64          `cbor:"11,keyasint,omitempty"` // its requests in work at machines, lately
-	Rooms   []Room           `cbor:"12,keyasint,omitempty"` // of some machines, by turns
-	Hot     []string         `cbor:"13,keyasint,omitempty"` // machines where it sends a hot key
+	Seq     uint64             `cbor:"1,keyasint"`
+	Knows   uint64             `cbor:"2,keyasint"` // the state it knows
+	Clear   []maintenance.Mark `cbor:"3,keyasint,omitempty"`
+	Grace   time.Duration      `cbor:"4,keyasint"`
+	Leaving bool               `cbor:"5,keyasint,omitempty"` // it has stopped, and has nothing open anywhere
+	Handled uint64             `cbor:"6,keyasint,omitempty"` // requests since the call before
+	Refused uint64             `cbor:"7,keyasint,omitempty"` // of them
+	Avoids  []string           `cbor:"8,keyasint,omitempty"` // machines that it has set aside
+	Heard   uint64             `cbor:"9,keyasint,omitempty"` // the last call that was answered
+	// until its first lease it may go by the state then
+	From  uint64   `cbor:"10,keyasint,omitempty"`
+	Busy  float64  `cbor:"11,keyasint,omitempty"` // its requests in work at machines, lately
+	Rooms []Room   `cbor:"12,keyasint,omitempty"` // of some machines, by turns
+	Hot   []string `cbor:"13,keyasint,omitempty"` // machines where it sends a hot key
 }
 
 // Room is what a proxy measured of a machine.
@@ -65,19 +66,21 @@
 // Lease tells the state, and answers a Renew where Seq is set. With no For it is no lease: the sender does
 // not lead, or has yet to take the asker in.
 type Lease struct {
-	Seq    uint64           `cbor:"1,keyasint,omitempty"`
-	For    time.Duration    `cbor:"2,keyasint,omitempty"`
-	Every  time.Duration    `cbor:"3,keyasint,omitempty"` // the pace of renewals
-	Grace  time.Duration    `cbor:"4,keyasint,omitempty"`
-	Index  uint64           `cbor:"5,keyasint,omitempty"` // of the state that follows; 0: none does
-	Named  []string         `cbor:"6,keyasint,omitempty"`
-	Marked []workorder.Mark `cbor:"7,keyasint,omitempty"`
-	Voters []Voter          `cbor:"8,keyasint,omitempty"`
-	Leader string           `cbor:"9,keyasint,omitempty"` // as far as the sender knows
-	Left   bool             `cbor:"10,keyasint,omitempty"`
-	Retire bool             `cbor:"11,keyasint,omitempty"` // the asker's disk is older than what it said before
-	Again  bool             `cbor:"12,keyasint,omitempty"` // it had not heard answers lately: it may ask at once
-	Level  uint64           `cbor:"13,keyasint,omitempty"` // of the log
+	Seq    uint64             `cbor:"1,keyasint,omitempty"`
+	For    time.Duration      `cbor:"2,keyasint,omitempty"`
+	Every  time.Duration      `cbor:"3,keyasint,omitempty"` // the pace of renewals
+	Grace  time.Duration      `cbor:"4,keyasint,omitempty"`
+	Index  uint64             `cbor:"5,keyasint,omitempty"` // of the state that follows; 0: none does
+	Named  []string           `cbor:"6,keyasint,omitempty"`
+	Marked []maintenance.Mark `cbor:"7,keyasint,omitempty"`
+	Voters []Voter            `cbor:"8,keyasint,omitempty"`
+	Leader string             `cbor:"9,keyasint,omitempty"` // as far as the sender knows
+	Left   bool               `cbor:"10,keyasint,omitempty"`
+	// the asker's disk is older than what it said before
+	Retire bool `cbor:"11,keyasint,omitempty"`
+	// it had not heard answers lately: it may ask at once
+	Again bool   `cbor:"12,keyasint,omitempty"`
+	Level uint64 `cbor:"13,keyasint,omitempty"` // of the log
 }
 
 // Voter is one of those who agree on the log.
@@ -89,11 +92,11 @@
 
 // Call passes an operators' call on to the leader.
 type Call struct {
-	ID      string             `cbor:"1,keyasint"`
-	Command *workorder.Command `cbor:"2,keyasint,omitempty"`
-	Spec    *workorder.Spec    `cbor:"3,keyasint,omitempty"` // an order to be made of it
-	Status  bool               `cbor:"4,keyasint,omitempty"` // how things stand
-	Whole   bool               `cbor:"5,keyasint,omitempty"` // with Status: as the whole state, for a judge
+	ID      string               `cbor:"1,keyasint"`
+	Command *maintenance.Command `cbor:"2,keyasint,omitempty"`
+	Spec    *maintenance.Spec    `cbor:"3,keyasint,omitempty"` // an order to be made of it
+	Status  bool                 `cbor:"4,keyasint,omitempty"` // how things stand
+	Whole   bool                 `cbor:"5,keyasint,omitempty"` // with Status: as the whole state, for a judge
 }
 
 // Answer ends a Call. Where neither Done nor Err is set, the sender doesn't lead.
@@ -103,7 +106,7 @@
 	Err    string `cbor:"3,keyasint,omitempty"`
 	Status string `cbor:"4,keyasint,omitempty"`
 	Leader string `cbor:"5,keyasint,omitempty"`
-	State  []byte `cbor:"6,keyasint,omitempty"` // as workorder.Encode words it
+	State  []byte `cbor:"6,keyasint,omitempty"` // as maintenance.Encode words it
 }
 
 // founding is the context of a change of the voters.
@@ -114,15 +117,15 @@
 
 // batch is an entry of the log.
 type batch struct {
-	Nonce    uint64              `cbor:"1,keyasint"`
-	Commands []workorder.Command `cbor:"2,keyasint"`
+	Nonce    uint64                `cbor:"1,keyasint"`
+	Commands []maintenance.Command `cbor:"2,keyasint"`
 }
 
 // replica is what all who follow the log hold alike.
 type replica struct {
-	Work    *workorder.State `cbor:"1,keyasint"`
-	Voters  map[uint64]Voter `cbor:"2,keyasint"`
-	Cluster uint64           `cbor:"3,keyasint"`
+	Work    *maintenance.State `cbor:"1,keyasint"`
+	Voters  map[uint64]Voter   `cbor:"2,keyasint"`
+	Cluster uint64             `cbor:"3,keyasint"`
 }
 
 // Note is what is kept on the disk beside the log.
--- a/internal/coordination/party.go
+++ b/internal/coordination/party.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Times and bounds of a party's renewals.
@@ -33,8 +33,8 @@
 	heard    uint64 // the last renewal that was answered
 	urgent   uint64 // the leader should know soon that it does, from this index on
 	named    []string
-	marked   []workorder.Mark
-	clear    []workorder.Mark
+	marked   []maintenance.Mark
+	clear    []maintenance.Mark
 	grace    time.Duration
 	voters   []Voter
 	handled  uint64
@@ -232,10 +232,10 @@
 			p.urgent = l.Index
 		}
 		p.index, p.named, p.marked, p.level = l.Index, l.Named, l.Marked, l.Level
-		if p.grace = max(p.grace, l.Grace); news && p.level >= workorder.LevelResume {
+		if p.grace = max(p.grace, l.Grace); news && p.level >= maintenance.LevelResume {
 			c.keep()
 		}
-		p.clear = slices.DeleteFunc(p.clear, func(m workorder.Mark) bool { return !slices.Contains(p.marked, m) })
+		p.clear = slices.DeleteFunc(p.clear, func(m maintenance.Mark) bool { return !slices.Contains(p.marked, m) })
 	}
 	if l.Index > 0 && len(l.Voters) > 0 {
 		p.voters = l.Voters
@@ -266,7 +266,7 @@
 	if c.core != nil && c.core.Leads() {
 		c.core.Yield()
 	}
-	if !c.kept && p.level >= workorder.LevelResume {
+	if !c.kept && p.level >= maintenance.LevelResume {
 		p.left = true // it is found out by its lease
 		c.do(Left{})
 		return
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 const (
@@ -49,17 +49,17 @@
 }
 
 // listed takes in what discovery lists.
-func (c *Council) listed(all []workorder.Seen) {
+func (c *Council) listed(all []maintenance.Seen) {
 	c.seenAt = c.now
-	c.seen = make(map[string]workorder.Seen, len(all))
+	c.seen = make(map[string]maintenance.Seen, len(all))
 	for _, m := range all {
 		c.seen[m.ID] = m
 	}
 }
 
 // view is what this leader knows of the fleet.
-func (c *Council) view() workorder.View {
-	v := workorder.View{Now: c.now, Machines: make(map[string]workorder.Seen, len(c.seen)), Listed: c.seenAt,
+func (c *Council) view() maintenance.View {
+	v := maintenance.View{Now: c.now, Machines: make(map[string]maintenance.Seen, len(c.seen)), Listed: c.seenAt,
 		Expired: c.expired, Since: map[string]time.Duration{}, WarmAfter: c.cfg.WarmAfter}
 	v.Level = c.rep.Work.Level
 	avoided, hot, tell := map[string]int{}, map[string]int{}, 0
@@ -93,9 +93,9 @@
 		if p.Gone {
 			continue
 		}
-		id := workorder.ProxyID(p.Name)
+		id := maintenance.ProxyID(p.Name)
 		at, ok := c.lead.renewed[p.Key()]
-		v.Machines[id] = workorder.Seen{Machine: workorder.Machine{ID: id, Proxy: p.Name, Weight: 1},
+		v.Machines[id] = maintenance.Seen{Machine: maintenance.Machine{ID: id, Proxy: p.Name, Weight: 1},
 			Ready: ok && c.now-at < 2*every, Voter: slices.Contains(c.core.Voters(), p.ID)}
 	}
 	for id, s := range c.lead.steps {
--- a/internal/coordination/voters.go
+++ b/internal/coordination/voters.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"lilacglade/internal/maintenance"
 	"lilacglade/internal/members"
-	"lilacglade/internal/workorder"
 )
 
 // changeAgain: a change of the voters is not asked for again before.
@@ -14,7 +14,7 @@
 
 // steer sees to the voters: as many as there were founders, one change at a time, each proxy at most once.
 func (c *Council) steer() {
-	if w := c.rep.Work.Active(workorder.ProxyID(c.cfg.Name)); w != nil && w.Step.Marked() {
+	if w := c.rep.Work.Active(maintenance.ProxyID(c.cfg.Name)); w != nil && w.Step.Marked() {
 		c.core.Yield() // a leader whose own machine goes out gives up its lead first
 	}
 	if len(c.lead.want) > 0 {
@@ -85,7 +85,7 @@
 // changeVoters gives a member a vote, and takes it from others.
 func (c *Council) changeVoters(add *members.Member, remove ...uint64) {
 	c.lead.change = c.now
-	who := workorder.Encode(founding{Voters: []Voter{{add.ID, add.Name, add.Addr}}})
+	who := maintenance.Encode(founding{Voters: []Voter{{add.ID, add.Name, add.Addr}}})
 	if err := c.core.Change([]uint64{add.ID}, remove, who); err == nil {
 		c.lead.voterAt[add.ID] = c.now
 		c.do(Log{fmt.Sprintf("%s gets a vote", add.Name)})
--- a/internal/faults/conditions.go
+++ b/internal/faults/conditions.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // condition is one word that a step's When may begin with. observed gets all fields, the word first.
@@ -148,7 +148,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state != nil && len(h.state.Orders) > 0 && !slices.ContainsFunc(h.state.Works,
-		func(w *workorder.Work) bool { return !w.Step.Ended() }), nil
+		func(w *maintenance.Work) bool { return !w.Step.Ended() }), nil
 }
 
 func (h *harness) throughObserved(f []string) (bool, error) {
@@ -157,7 +157,7 @@
 	if h.state == nil || h.state.Order(f[1]) == nil {
 		return false, nil
 	}
-	return !slices.ContainsFunc(h.state.Works, func(w *workorder.Work) bool {
+	return !slices.ContainsFunc(h.state.Works, func(w *maintenance.Work) bool {
 		return w.Order == f[1] && !w.Step.Ended()
 	}), nil
 }
@@ -180,7 +180,7 @@
 	if h.state == nil {
 		return false
 	}
-	return slices.ContainsFunc(h.state.Works, func(w *workorder.Work) bool {
+	return slices.ContainsFunc(h.state.Works, func(w *maintenance.Work) bool {
 		return w.Machine.ID == machine && slices.Contains(steps, w.Step.String())
 	})
 }
--- a/internal/faults/harness.go
+++ b/internal/faults/harness.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // harness is several real processes and what is between them. Run makes one and ends it. What stands above mu
@@ -34,9 +34,9 @@
 	servedBefore map[string]int
 
 	mu     sync.Mutex
-	judge  *workorder.Judge
-	fault  error            // the first
-	state  *workorder.State // the newest that was seen
+	judge  *maintenance.Judge
+	fault  error              // the first
+	state  *maintenance.State // the newest that was seen
 	status map[string]string
 	named  map[string]string // what "leader" and the like stood for when they were named
 	calls  map[string]error  // what came of operators' calls
@@ -59,7 +59,7 @@
 		log:      log,
 		relays:   map[[2]string]*Relay{},
 		began:    time.Now(),
-		judge:    workorder.NewJudge(),
+		judge:    maintenance.NewJudge(),
 		status:   map[string]string{},
 		named:    map[string]string{},
 		calls:    map[string]error{},
--- a/internal/faults/proc.go
+++ b/internal/faults/proc.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Proc is one real process of the program, and its place.
@@ -226,7 +226,7 @@
 // upgrade has the process be of this version from its next start on; downgrade, of the one before.
 func (p *Proc) upgrade() { p.level = 0 }
 
-func (p *Proc) downgrade() { p.level = workorder.LevelFirst }
+func (p *Proc) downgrade() { p.level = maintenance.LevelFirst }
 
 // write writes the process's configuration, for its next start or reload.
 func (p *Proc) write() error {
--- a/internal/faults/setup.go
+++ b/internal/faults/setup.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // build sets up everything that the scenario names and starts the processes.
@@ -67,7 +67,7 @@
 		name := fmt.Sprintf("n%d", i)
 		p := &Proc{Name: name, binary: binary, dir: filepath.Join(h.dir, name), alone: h.scenario.Alone}
 		if p.clock = h.scenario.Clocks[p.Name]; slices.Contains(h.scenario.Old, p.Name) {
-			p.level = workorder.LevelFirst
+			p.level = maintenance.LevelFirst
 		}
 		if err := p.assignAddresses(); err != nil {
 			return err
--- a/internal/faults/staff.go
+++ b/internal/faults/staff.go
@@ -4,14 +4,14 @@
 	"syscall"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Staff are who works on machines: one that is told free is switched off at once, worked on, and started
 // anew.
 
 // beginMaintenance has staff work on a machine that a process has told free, once. The caller holds h.mu.
-func (h *harness) beginMaintenance(w *workorder.Work, toldBy *Proc) error {
+func (h *harness) beginMaintenance(w *maintenance.Work, toldBy *Proc) error {
 	if w.Machine.Proxy != "" && !h.renewed[w.Number] {
 		h.renewed[w.Number] = true
 		h.tasks.Add(1)
--- a/internal/faults/watch.go
+++ b/internal/faults/watch.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // startWatching watches all processes until the context ends; those that talk to no other are not watched.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := workorder.Restore(raw)
+	s, err := maintenance.Restore(raw)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		h.state = s
 	}
 	for _, w := range s.Works {
-		if w.Step != workorder.Free {
+		if w.Step != maintenance.Free {
 			continue
 		}
 		if err := h.beginMaintenance(w, p); err != nil {
--- a/internal/workorder/codec.go
+++ b/internal/maintenance/codec.go
@@ -1,4 +1,4 @@
-package workorder
+package maintenance
 
 import (
 	"fmt"
--- a/internal/workorder/command.go
+++ b/internal/maintenance/command.go
@@ -1,4 +1,4 @@
-package workorder
+package maintenance
 
 // Kind is what an entry does.
 type Kind uint8
--- a/internal/workorder/workorder.go
+++ b/internal/maintenance/maintenance.go
@@ -1,8 +1,8 @@
-// Package workorder is the state machine of machines taken out for work: entries of the log that the
+// Package maintenance is the state machine of machines taken out for work: entries of the log that the
 // proxies agree on come in, in their order, and the same state follows everywhere. It is pure: no clock, no
 // sockets. Every guard is checked where an entry is applied, so that no leader can go round it; what only a
 // clock can tell (a lease that ran out) comes in with the entry and is the proposer's to prove.
-package workorder
+package maintenance
 
 import (
 	"errors"
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -14,7 +14,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Config is the file that NODE_PEERS or --peers names.
@@ -103,7 +103,7 @@
 }
 
 // ReadOrder reads an order as staff write it. An error names the file, and the line or the key.
-func ReadOrder(path string) (sp workorder.Spec, err error) {
+func ReadOrder(path string) (sp maintenance.Spec, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return sp, err
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -19,7 +19,7 @@
 	"lilacglade/internal/consensus"
 	"lilacglade/internal/coordination"
 	"lilacglade/internal/fencing"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Times of the driver.
@@ -273,10 +273,10 @@
 	names := map[lg.ServerID]string{}
 	own := uint64(0)
 	for _, m := range e.Marked {
-		if m.Machine == workorder.ProxyID(n.name) {
+		if m.Machine == maintenance.ProxyID(n.name) {
 			own = m.Grant
 		}
-		if workorder.IsProxy(m.Machine) {
+		if maintenance.IsProxy(m.Machine) {
 			continue // nobody sends there from here
 		}
 		id := n.id(m.Machine)
@@ -284,7 +284,7 @@
 		f.Marked = append(f.Marked, fencing.Mark[lg.ServerID]{Machine: id, Grant: m.Grant})
 	}
 	for _, m := range e.Named {
-		if !workorder.IsProxy(m) {
+		if !maintenance.IsProxy(m) {
 			f.Named = append(f.Named, n.id(m))
 		}
 	}
@@ -299,12 +299,12 @@
 func (n *Node) Stopped(index uint64, clear []fencing.Mark[lg.ServerID], own uint64) {
 	ev := coordination.Stopped{Index: index}
 	if own > 0 {
-		ev.Clear = append(ev.Clear, workorder.Mark{Machine: workorder.ProxyID(n.name), Grant: own})
+		ev.Clear = append(ev.Clear, maintenance.Mark{Machine: maintenance.ProxyID(n.name), Grant: own})
 	}
 	n.mu.Lock()
 	for _, m := range clear {
 		if name, ok := n.names[m.Machine]; ok {
-			ev.Clear = append(ev.Clear, workorder.Mark{Machine: name, Grant: m.Grant})
+			ev.Clear = append(ev.Clear, maintenance.Mark{Machine: name, Grant: m.Grant})
 		}
 	}
 	n.mu.Unlock()
@@ -326,7 +326,7 @@
 }
 
 // Inventory takes the machines as discovery lists them.
-func (n *Node) Inventory(all []workorder.Seen) { n.post(coordination.Inventory{Machines: all}) }
+func (n *Node) Inventory(all []maintenance.Seen) { n.post(coordination.Inventory{Machines: all}) }
 
 // Load takes what the proxy has handled and refused since the last call, and what it measured.
 func (n *Node) Load(l coordination.Load) { n.post(l) }
@@ -396,20 +396,20 @@
 
 // Action is an operators' call as it comes in on the admin socket.
 type Action struct {
-	ID    string          `json:"id"`
-	Do    string          `json:"do"`
-	Name  string          `json:"name,omitempty"` // of an order, a machine or a proxy
-	Why   string          `json:"why,omitempty"`
-	Order *workorder.Spec `json:"order,omitempty"`
+	ID    string            `json:"id"`
+	Do    string            `json:"do"`
+	Name  string            `json:"name,omitempty"` // of an order, a machine or a proxy
+	Why   string            `json:"why,omitempty"`
+	Order *maintenance.Spec `json:"order,omitempty"`
 }
 
 // does says which entry each word stands for, and whether it names a machine.
 var does = map[string]struct {
-	kind    workorder.Kind
+	kind    maintenance.Kind
 	machine bool
-}{"pause": {workorder.Pause, false}, "resume": {workorder.Resume, false}, "cancel": {workorder.Cancel, false},
-	"forget": {workorder.Forget, false}, "out": {workorder.SetOut, true}, "back": {workorder.Return, true},
-	"fail": {workorder.Fail, true}}
+}{"pause": {maintenance.Pause, false}, "resume": {maintenance.Resume, false},
+	"cancel": {maintenance.Cancel, false}, "forget": {maintenance.Forget, false},
+	"out": {maintenance.SetOut, true}, "back": {maintenance.Return, true}, "fail": {maintenance.Fail, true}}
 
 // Work answers an operators' call: what follows the word WORK, STATUS or an Action.
 func (n *Node) Work(line string) []byte {
@@ -437,9 +437,9 @@
 	case ok && a.Name == "":
 		return []byte("-ERR name: not set\n")
 	case ok && w.machine:
-		call.Command = &workorder.Command{Kind: w.kind, Machine: a.Name, Why: a.Why}
+		call.Command = &maintenance.Command{Kind: w.kind, Machine: a.Name, Why: a.Why}
 	case ok:
-		call.Command = &workorder.Command{Kind: w.kind, Name: a.Name}
+		call.Command = &maintenance.Command{Kind: w.kind, Name: a.Name}
 	default:
 		return fmt.Appendf(nil, "-ERR do: %q is unknown\n", a.Do)
 	}
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -8,11 +8,11 @@
 	lg "lilacglade"
 	"lilacglade/internal/coordination"
 	"lilacglade/internal/fencing"
+	"lilacglade/internal/maintenance"
 	"lilacglade/internal/peers"
 	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/settings"
-	"lilacglade/internal/workorder"
 )
 
 // loads is what the other proxies were told of this one's load.
@@ -98,11 +98,11 @@
 	if p.peers == nil {
 		return
 	}
-	var all []workorder.Seen
+	var all []maintenance.Seen
 	p.loads.names = map[lg.ServerID]string{}
 	for _, in := range p.servers.Instances() {
 		p.loads.names[serverlist.ID(in.Name)] = in.Name
-		all = append(all, workorder.Seen{Ready: in.State == lg.Ready, Machine: workorder.Machine{ID: in.Name,
+		all = append(all, maintenance.Seen{Ready: in.State == lg.Ready, Machine: maintenance.Machine{ID: in.Name,
 			Zone: in.Zone, Kind: in.Kind, Weight: in.Weight, Started: in.Started}})
 	}
 	p.peers.Inventory(slices.Clip(all))
--- a/internal/workplay/faults.go
+++ b/internal/workplay/faults.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lilacglade/internal/coordination"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // flight is a request at a machine.
@@ -90,9 +90,9 @@
 
 // discovery tells the machines as they are listed.
 func (p *proxy) discovery() {
-	var all []workorder.Seen
+	var all []maintenance.Seen
 	for _, m := range p.w.machines {
-		all = append(all, workorder.Seen{Machine: m.Machine, Ready: m.ready})
+		all = append(all, maintenance.Seen{Machine: m.Machine, Ready: m.ready})
 	}
 	p.step(coordination.Inventory{Machines: all})
 	load := coordination.Load{Handled: 100, Busy: float64(len(p.flights))}
@@ -132,9 +132,9 @@
 }
 
 // staff switches machines off the moment they are told free, and brings them back.
-func (w *world) staff(work *workorder.State) {
+func (w *world) staff(work *maintenance.State) {
 	for _, x := range work.Works {
-		if x.Step != workorder.Free && x.Step != workorder.Out {
+		if x.Step != maintenance.Free && x.Step != maintenance.Out {
 			continue
 		}
 		for _, m := range w.machines {
@@ -163,7 +163,7 @@
 	case n < 4 || len(w.orders) == 0:
 		id := fmt.Sprintf("o%d", w.lastCall)
 		w.orders = append(w.orders, id)
-		spec := &workorder.Spec{ID: id, Most: 1 + w.rng.IntN(2), MostZone: w.rng.IntN(3), Keep: 0.3}
+		spec := &maintenance.Spec{ID: id, Most: 1 + w.rng.IntN(2), MostZone: w.rng.IntN(3), Keep: 0.3}
 		for _, m := range w.machines {
 			if w.rng.IntN(2) == 0 {
 				spec.Machines = append(spec.Machines, m.ID)
@@ -172,13 +172,13 @@
 		call.Spec = spec
 	case n == 4:
 		id := w.orders[w.rng.IntN(len(w.orders))]
-		call.Command = &workorder.Command{Kind: workorder.Pause, Name: id}
+		call.Command = &maintenance.Command{Kind: maintenance.Pause, Name: id}
 		w.lastCall++
-		resume := coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
-			Kind: workorder.Resume, Name: id}}
+		resume := coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &maintenance.Command{
+			Kind: maintenance.Resume, Name: id}}
 		w.at(w.between(time.Second, 5*time.Second), func() { w.insist(resume, 0) })
 	default:
-		call.Command = &workorder.Command{Kind: workorder.Cancel, Name: w.orders[w.rng.IntN(len(w.orders))]}
+		call.Command = &maintenance.Command{Kind: maintenance.Cancel, Name: w.orders[w.rng.IntN(len(w.orders))]}
 	}
 	w.insist(call, 0)
 }
@@ -189,7 +189,7 @@
 		return
 	}
 	if w.made[call.ID] == nil {
-		m := &Call{Kind: workorder.Submit, Began: w.now}
+		m := &Call{Kind: maintenance.Submit, Began: w.now}
 		if call.Command != nil {
 			m.Kind, m.Order = call.Command.Kind, call.Command.Name
 		} else {
@@ -358,8 +358,8 @@
 	p.lost = true
 	w.at(w.between(3*time.Second, 8*time.Second), func() {
 		w.lastCall++
-		w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
-			Kind: workorder.Forget, Name: p.name}}, 0)
+		w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &maintenance.Command{
+			Kind: maintenance.Forget, Name: p.name}}, 0)
 	})
 }
 
@@ -383,8 +383,8 @@
 	resume = func() { // what was paused goes on, also by a call that was long on its way
 		for _, o := range w.orders {
 			w.lastCall++
-			w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &workorder.Command{
-				Kind: workorder.Resume, Name: o}}, 0)
+			w.insist(coordination.Call{ID: fmt.Sprintf("c%d", w.lastCall), Command: &maintenance.Command{
+				Kind: maintenance.Resume, Name: o}}, 0)
 		}
 		w.at(10*time.Second, resume)
 	}
--- a/internal/workplay/play.go
+++ b/internal/workplay/play.go
@@ -1,6 +1,6 @@
 // Package workplay plays the proxies that settle who goes out for work in virtual time: the real coordination
 // and fencing of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed.
-// What happens is held against workorder.Judge, which judges real processes too.
+// What happens is held against maintenance.Judge, which judges real processes too.
 package workplay
 
 import (
@@ -16,7 +16,7 @@
 
 	"lilacglade/internal/coordination"
 	"lilacglade/internal/fencing"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 // Config is one play.
@@ -63,7 +63,7 @@
 
 // Call is an operators' call as its callers saw it.
 type Call struct {
-	Kind         workorder.Kind
+	Kind         maintenance.Kind
 	Order        string
 	Began, Ended time.Duration
 	Known, Done  bool // it was answered, and how
@@ -107,7 +107,7 @@
 	cut      map[[2]string]bool
 	slow     map[[2]string]time.Duration
 	loss     float64
-	judge    *workorder.Judge
+	judge    *maintenance.Judge
 	calls    map[string]string // id -> what it gave
 	made     map[string]*Call
 	lastCall int
@@ -117,7 +117,7 @@
 }
 
 type machine struct {
-	workorder.Machine
+	maintenance.Machine
 	ready bool
 	busy  bool // staff work on it
 	never bool // it does not come back
@@ -155,7 +155,7 @@
 	binary.LittleEndian.PutUint64(key[:], cfg.Seed)
 	defer func(old io.Reader) { crand.Reader = old }(crand.Reader)
 	crand.Reader = rand.NewChaCha8(key)
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), judge: workorder.NewJudge(),
+	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), judge: maintenance.NewJudge(),
 		cut: map[[2]string]bool{}, slow: map[[2]string]time.Duration{}, calls: map[string]string{},
 		made: map[string]*Call{}}
 	w.build()
@@ -193,7 +193,7 @@
 		m = 4 + w.rng.IntN(6)
 	}
 	for i := range m {
-		w.machines = append(w.machines, &machine{Machine: workorder.Machine{ID: fmt.Sprintf("m%d", i),
+		w.machines = append(w.machines, &machine{Machine: maintenance.Machine{ID: fmt.Sprintf("m%d", i),
 			Zone: fmt.Sprintf("z%d", i%2), Kind: fmt.Sprintf("k%d", i%3), Weight: 1}, ready: true})
 	}
 	old := w.rng.IntN(4) == 0 // some programs are of the version before
@@ -201,7 +201,7 @@
 		p := &proxy{w: w, name: fmt.Sprintf("p%d", i), rate: 0.98 + 0.04*w.rng.Float64(),
 			offset: w.between(0, time.Hour), disk: newDisk(w.rng)}
 		if old && w.rng.IntN(2) == 0 {
-			p.level = workorder.LevelFirst
+			p.level = maintenance.LevelFirst
 		}
 		w.proxies = append(w.proxies, p)
 		w.at(w.between(0, time.Second), p.start)
@@ -244,10 +244,10 @@
 		work := p.council.Work()
 		done := 0
 		for _, x := range work.Works {
-			if !x.Step.Ended() && x.Step != workorder.Failed {
+			if !x.Step.Ended() && x.Step != maintenance.Failed {
 				return false
 			}
-			if x.Step == workorder.Done {
+			if x.Step == maintenance.Done {
 				done++
 			}
 		}
@@ -347,7 +347,7 @@
 // clock is what the process's monotonic clock reads.
 func (p *proxy) clock() time.Duration { return p.offset + time.Duration(p.rate*float64(p.w.now)) }
 
-func (p *proxy) key() string { return workorder.Key(p.name, p.inc) }
+func (p *proxy) key() string { return maintenance.Key(p.name, p.inc) }
 
 // step gives the council an event and does what it wants.
 func (p *proxy) step(ev coordination.Event) {
@@ -474,14 +474,14 @@
 			p.endAll(id)
 		}
 	}
-	var clear []workorder.Mark
+	var clear []maintenance.Mark
 	for _, m := range p.holds.Clear(func(id string) int {
 		if p.w.cfg.Break == NoClear {
 			return 0
 		}
 		return p.open[id]
 	}) {
-		clear = append(clear, workorder.Mark{Machine: m.Machine, Grant: m.Grant})
+		clear = append(clear, maintenance.Mark{Machine: m.Machine, Grant: m.Grant})
 	}
 	p.step(coordination.Stopped{Index: p.holds.Index(), Clear: clear})
 	if due := p.holds.Due(); p.alive && due > 0 && due < coordination.Forever && due != p.wakeAt {
--- a/internal/workplay/play_test.go
+++ b/internal/workplay/play_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"lilacglade/internal/coordination"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/maintenance"
 )
 
 var (
@@ -74,15 +74,15 @@
 		Step: func(state, in, out any) []any {
 			c, s := in.(*Call), state.(int)
 			may := s == given || s == paused
-			if c.Kind == workorder.Submit {
+			if c.Kind == maintenance.Submit {
 				may = s == unknown
 			}
-			next := map[workorder.Kind]int{workorder.Submit: given, workorder.Pause: paused, workorder.Resume: given,
-				workorder.Cancel: ended}[c.Kind]
+			next := map[maintenance.Kind]int{maintenance.Submit: given, maintenance.Pause: paused,
+				maintenance.Resume: given, maintenance.Cancel: ended}[c.Kind]
 			switch {
 			case !c.Known && may:
 				return []any{s, next}
-			case !c.Known, !c.Done && (!may || c.Kind == workorder.Submit): // its machines may be in another order
+			case !c.Known, !c.Done && (!may || c.Kind == maintenance.Submit): // its machines may be in another order
 				return []any{s}
 			case c.Done && may:
 				return []any{next}
@@ -115,9 +115,9 @@
 
 // TestHistoryCheck shows that a history that makes no sense is found: an order paused after its end.
 func TestHistoryCheck(t *testing.T) {
-	good := []*Call{{Kind: workorder.Submit, Order: "o", Began: 1, Ended: 2, Known: true, Done: true},
-		{Kind: workorder.Cancel, Order: "o", Began: 3, Ended: 9, Known: true, Done: true},
-		{Kind: workorder.Pause, Order: "o", Began: 4, Ended: 8, Known: true, Done: true}}
+	good := []*Call{{Kind: maintenance.Submit, Order: "o", Began: 1, Ended: 2, Known: true, Done: true},
+		{Kind: maintenance.Cancel, Order: "o", Began: 3, Ended: 9, Known: true, Done: true},
+		{Kind: maintenance.Pause, Order: "o", Began: 4, Ended: 8, Known: true, Done: true}}
 	if !linearizable(good) {
 		t.Error("calls at once may go in either order")
 	}
