--- a/cmd/lilalab/fleet.go
+++ b/cmd/lilalab/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"lilacglade/internal/faults"
-	"lilacglade/internal/workplay"
+	"lilacglade/internal/maintenancesim"
 )
 
 // fleetCommand plays several proxies that talk to each other: real processes from a scenario, or the same
@@ -79,14 +79,14 @@
 
 // playFleet plays schedules in virtual time.
 func playFleet(out io.Writer, seed uint64, plays, proxies, troubles int, steps bool) error {
-	var total workplay.Report
+	var total maintenancesim.Report
 	show := progress("schedules", plays)
 	for i := range plays {
-		cfg := workplay.Config{Seed: seed + uint64(i), Proxies: proxies, Faults: troubles}
+		cfg := maintenancesim.Config{Seed: seed + uint64(i), Proxies: proxies, Faults: troubles}
 		if steps {
 			cfg.Trace = func(s string) { fmt.Fprintln(out, s) }
 		}
-		r := workplay.Play(cfg)
+		r := maintenancesim.Play(cfg)
 		if r.Fault != nil {
 			return fmt.Errorf("seed %d: %w", cfg.Seed, r.Fault)
 		}
--- a/internal/workplay/disk.go
+++ b/internal/maintenancesim/disk.go
@@ -1,4 +1,4 @@
-package workplay
+package maintenancesim
 
 import (
 	"math/rand/v2"
--- a/internal/workplay/play.go
+++ b/internal/maintenancesim/play.go
@@ -1,7 +1,7 @@
-// Package workplay plays the proxies that settle who goes out for work in virtual time: the real coordination
-// and fencing of each, over a simulated network, disks, clocks and machines, with faults drawn from a seed.
-// What happens is held against maintenance.Judge, which judges real processes too.
-package workplay
+// Package maintenancesim plays the proxies that settle who goes out for work in virtual time: the real
+// coordination and fencing of each, over a simulated network, disks, clocks and machines, with faults drawn
+// from a seed. What happens is held against maintenance.Judge, which judges real processes too.
+package maintenancesim
 
 import (
 	"container/heap"
