--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -11,7 +11,7 @@
 
 	"lilacglade/internal/consensus"
 	"lilacglade/internal/maintenance"
-	"lilacglade/internal/members"
+	"lilacglade/internal/membership"
 )
 
 // TickEvery is the time between two Ticks.
@@ -63,7 +63,7 @@
 	now     time.Duration
 	out     []Effect
 	local   [][]byte // messages to itself
-	table   *members.Table
+	table   *membership.Table
 	core    *consensus.Core // nil while there is no disk
 	rep     *replica
 	cluster uint64
@@ -86,8 +86,9 @@
 
 // New returns a Council.
 func New(cfg Config) (*Council, error) {
-	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)), table: members.New(cfg.ReplaceAfter),
-		blank: map[string]time.Duration{}, calls: map[string]*pending{}, agreed: map[string]bool{}}
+	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)),
+		table: membership.New(cfg.ReplaceAfter), blank: map[string]time.Duration{},
+		calls: map[string]*pending{}, agreed: map[string]bool{}}
 	c.party = party{sentAt: map[uint64]time.Duration{}, every: joinEvery}
 	c.cfg.Level = cmp.Or(cfg.Level, maintenance.LevelNow)
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
@@ -160,4 +161,4 @@
 func (c *Council) Leads() bool { return c.leads() }
 
 // Table is whom this proxy has heard.
-func (c *Council) Table() *members.Table { return c.table }
+func (c *Council) Table() *membership.Table { return c.table }
--- a/internal/coordination/exchange.go
+++ b/internal/coordination/exchange.go
@@ -2,7 +2,7 @@
 
 import (
 	"lilacglade/internal/maintenance"
-	"lilacglade/internal/members"
+	"lilacglade/internal/membership"
 )
 
 // send has an envelope sent, to itself too.
@@ -37,7 +37,7 @@
 		return
 	}
 	if !own {
-		m := members.Member{Name: e.From, Inc: e.Inc, ID: e.ID, Boot: e.Boot, Addr: e.Addr,
+		m := membership.Member{Name: e.From, Inc: e.Inc, ID: e.ID, Boot: e.Boot, Addr: e.Addr,
 			Level: uint64(e.Version)}
 		if e.Hello != nil {
 			m.Blank = e.Hello.Blank
--- a/internal/coordination/voters.go
+++ b/internal/coordination/voters.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lilacglade/internal/maintenance"
-	"lilacglade/internal/members"
+	"lilacglade/internal/membership"
 )
 
 // changeAgain: a change of the voters is not asked for again before.
@@ -45,13 +45,13 @@
 }
 
 // mayGetVote tells whether a member can be reached and understands the log.
-func (c *Council) mayGetVote(m *members.Member) bool {
+func (c *Council) mayGetVote(m *membership.Member) bool {
 	_, every := c.pace()
-	return m.ID != 0 && m.Level >= c.rep.Work.Level && c.table.State(c.now, m.Name, every) == members.Alive
+	return m.ID != 0 && m.Level >= c.rep.Work.Level && c.table.State(c.now, m.Name, every) == membership.Alive
 }
 
 // renewedVoter is a voter whose process came back as another identity, and that one; nil if there is none.
-func (c *Council) renewedVoter() (old uint64, now *members.Member) {
+func (c *Council) renewedVoter() (old uint64, now *membership.Member) {
 	voters := c.core.Voters()
 	for _, id := range voters {
 		v, ok := c.voter(id)
@@ -64,7 +64,7 @@
 }
 
 // spareVoter is who may get a vote, founders first; nil if nobody may.
-func (c *Council) spareVoter() (spare *members.Member) {
+func (c *Council) spareVoter() (spare *membership.Member) {
 	isVoter := map[string]bool{}
 	for _, id := range c.core.Voters() {
 		if v, ok := c.voter(id); ok {
@@ -83,7 +83,7 @@
 }
 
 // changeVoters gives a member a vote, and takes it from others.
-func (c *Council) changeVoters(add *members.Member, remove ...uint64) {
+func (c *Council) changeVoters(add *membership.Member, remove ...uint64) {
 	c.lead.change = c.now
 	who := maintenance.Encode(founding{Voters: []Voter{{add.ID, add.Name, add.Addr}}})
 	if err := c.core.Change([]uint64{add.ID}, remove, who); err == nil {
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package members is what a proxy knows of its peers: who was heard, when, as which process. It is pure. What
-// it says is a belief with an age; nothing that must be safe follows from it.
-package members
+// Package membership is what a proxy knows of its peers: who was heard, when, as which process. It is pure.
+// What it says is a belief with an age; nothing that must be safe follows from it.
+package membership
 
 import (
 	"cmp"
--- a/internal/members/members_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
