--- a/cmd/lilalab/main.go
+++ b/cmd/lilalab/main.go
@@ -18,9 +18,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/world"
 )
 
 // errBroken ends a run on which a rule broke: exit code 1, as every other error.
@@ -139,7 +139,7 @@
 }
 
 // load reads a scenario with settings changed.
-func load(path string, sets []string) (*world.Scenario, error) {
+func load(path string, sets []string) (*emulator.Scenario, error) {
 	sc, raw, err := lab.Load(path)
 	if err != nil || len(sets) == 0 {
 		return sc, err
@@ -156,7 +156,7 @@
 }
 
 // play plays a scenario in either mode.
-func play(sc *world.Scenario, mode, policy string) (*world.Result, error) {
+func play(sc *emulator.Scenario, mode, policy string) (*emulator.Result, error) {
 	show := progress(sc.Name, int(sc.Duration/time.Second))
 	hear := func(at, of time.Duration) { show(int(at/time.Second), int(of/time.Second)) }
 	switch mode {
@@ -223,9 +223,9 @@
 				return nil
 			}
 			if mode == lab.Sockets { // few at once: real time needs the cores
-				err := lab.Lanes(lanes, jobs, func(j lab.Job) (*world.Result, error) {
+				err := lab.Lanes(lanes, jobs, func(j lab.Job) (*emulator.Result, error) {
 					return playSockets(j.Scenario, j.Policy, nil)
-				}, func(j lab.Job, r *world.Result) error {
+				}, func(j lab.Job, r *emulator.Result) error {
 					if r.Rules() > 0 {
 						fmt.Fprintf(out, "%s, seed %d, %s: %v\n", r.Scenario, r.Seed, r.Policy, r.Breaks[0])
 					}
@@ -414,7 +414,7 @@
 func kindsCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "kinds", Short: "List the kinds of trouble", Args: cobra.NoArgs,
 		Run: func(*cobra.Command, []string) {
-			for _, k := range world.Kinds() {
+			for _, k := range emulator.Kinds() {
 				fmt.Fprintf(out, "%-10s %s (size %.3g to %.3g, else %.3g)\n", k.Name, k.About, k.Sizes.From,
 					k.Sizes.To, k.Size)
 			}
--- a/cmd/lilalab/main_test.go
+++ b/cmd/lilalab/main_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab"
 	"lilacglade/internal/lab/sockets"
-	"lilacglade/internal/world"
 )
 
 // call runs the command and returns what it prints.
@@ -124,7 +124,8 @@
 	if r.Ended() != r.Asked || r.Unsettled() != 0 || r.Asked == 0 || r.Outcomes[0] == 0 || r.Openings == 0 {
 		t.Errorf("asked %d, outcomes %v, %d calls open", r.Asked, r.Outcomes, r.Unsettled())
 	}
-	for _, rule := range []world.Rule{world.RuleTwice, world.RuleRefused, world.RuleCrash, world.RuleTries} {
+	for _, rule := range []emulator.Rule{emulator.RuleTwice, emulator.RuleRefused, emulator.RuleCrash,
+		emulator.RuleTries} {
 		if r.Broken[rule] > 0 {
 			t.Errorf("rule %s: %v", rule, r.Breaks)
 		}
--- a/cmd/lilalab/sockets.go
+++ b/cmd/lilalab/sockets.go
@@ -12,12 +12,12 @@
 
 	"github.com/spf13/cobra"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/sockets"
 	"lilacglade/internal/lab/virtual"
 	"lilacglade/internal/settings"
 	"lilacglade/internal/textbook"
 	"lilacglade/internal/transport"
-	"lilacglade/internal/world"
 )
 
 // program is the proxy of a sockets run, beside this program unless --program names another.
@@ -28,7 +28,7 @@
 
 // playSockets plays a scenario with real programs: lilacglade itself for the module, and this
 // program's own proxy, the same but for its decider, for a textbook policy.
-func playSockets(sc *world.Scenario, policy string, progress func(at, of time.Duration)) (*world.Result,
+func playSockets(sc *emulator.Scenario, policy string, progress func(at, of time.Duration)) (*emulator.Result,
 	error) {
 	me, err := os.Executable()
 	if err != nil {
--- a/internal/world/cache.go
+++ b/internal/emulator/cache.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 // meet notes that a key has been here.
 func (s *Server) meet(key uint64) {
--- a/internal/world/crowd.go
+++ b/internal/emulator/crowd.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 // watchCrowd notes since when too many have waited, and since when hardly any.
 func (s *Server) watchCrowd() {
--- a/internal/world/world.go
+++ b/internal/emulator/emulator.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"encoding/binary"
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -7,8 +7,8 @@
 	"time"
 
 	lg "lilacglade"
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/reducer"
-	"lilacglade/internal/world"
 )
 
 // Cost is what one proxy's reducer, with its decision module, costs at a size of the fleet. Times
@@ -98,7 +98,7 @@
 
 // Measure measures the cost at a size of the fleet with so many requests.
 func Measure(servers, requests int) (Cost, error) {
-	sc := world.Lakeshore()
+	sc := emulator.Lakeshore()
 	c := Cost{Servers: servers, Requests: requests}
 	set := sc.Settings(0)
 	module, err := lg.New(set, 1)
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/world"
 )
 
 // Modes of a run.
@@ -25,12 +25,12 @@
 )
 
 // Player plays a scenario in sockets mode; cmd/lilalab gives it, since only it knows the program.
-type Player func(sc *world.Scenario, policy string, progress func(at, of time.Duration)) (*world.Result,
+type Player func(sc *emulator.Scenario, policy string, progress func(at, of time.Duration)) (*emulator.Result,
 	error)
 
 // Job is one run of a sweep.
 type Job struct {
-	Scenario *world.Scenario
+	Scenario *emulator.Scenario
 	Label    string // the settings changed
 	Policy   string
 	Pool     string // of virtual.Pools
@@ -40,7 +40,7 @@
 type Record struct {
 	Label  string `json:"label"`
 	Commit string `json:"commit,omitempty"`
-	*world.Result
+	*emulator.Result
 }
 
 // Combinations makes the jobs of a sweep: every combination of the settings' values with every
@@ -138,8 +138,8 @@
 }
 
 // Lanes plays jobs, so many at once, and hands on their results as they come.
-func Lanes(lanes int, jobs []Job, play func(Job) (*world.Result, error), take func(Job, *world.Result) error,
-	progress func(done, of int)) error {
+func Lanes(lanes int, jobs []Job, play func(Job) (*emulator.Result, error),
+	take func(Job, *emulator.Result) error, progress func(done, of int)) error {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed error
@@ -220,12 +220,12 @@
 
 // Compare pairs the records of two results by scenario, settings and seed and gives the difference
 // of a figure for each scenario and settings, with a bootstrap interval.
-func Compare(a, b []Record, figure func(*world.Result) float64) ([]Difference, error) {
+func Compare(a, b []Record, figure func(*emulator.Result) float64) ([]Difference, error) {
 	type key struct {
 		scenario, label string
 		seed            uint64
 	}
-	of := map[key]*world.Result{}
+	of := map[key]*emulator.Result{}
 	for _, r := range a {
 		of[key{r.Scenario, r.Label, r.Seed}] = r.Result
 	}
@@ -281,28 +281,30 @@
 }
 
 // Figures are the figures that can be compared, by name.
-var Figures = map[string]func(*world.Result) float64{
-	"g":          func(r *world.Result) float64 { return r.G },
-	"whole":      func(r *world.Result) float64 { return r.Whole },
-	"worst":      func(r *world.Result) float64 { return r.WorstWindow },
-	"p50":        func(r *world.Result) float64 { return r.Latency.P50.Seconds() * 1000 },
-	"p99":        func(r *world.Result) float64 { return r.Latency.P99.Seconds() * 1000 },
-	"p999":       func(r *world.Result) float64 { return r.Latency.P999.Seconds() * 1000 },
-	"lists":      func(r *world.Result) float64 { return float64(r.Lists.Asked) },
-	"list-peak":  func(r *world.Result) float64 { return float64(r.Lists.Peak) },
-	"behind":     func(r *world.Result) float64 { return float64(r.Lists.Behind) },
-	"openings":   func(r *world.Result) float64 { return 1000 * float64(r.Openings) / float64(max(1, r.Asked)) },
-	"attempts":   func(r *world.Result) float64 { return float64(r.Attempts) / float64(max(1, r.Asked)) },
-	"refused":    func(r *world.Result) float64 { return float64(r.Outcomes[1]) / float64(max(1, r.Asked)) },
-	"wasted":     func(r *world.Result) float64 { return r.Wasted / max(1e-9, r.Work) },
-	"broken":     func(r *world.Result) float64 { return float64(r.Rules()) },
-	"held-back":  func(r *world.Result) float64 { return float64(r.HeldBack) },
-	"turned":     func(r *world.Result) float64 { return float64(turned(r)) },
-	"dead-legs":  func(r *world.Result) float64 { return float64(r.DeadLegs) },
-	"connection": func(r *world.Result) float64 { return float64(r.MostOpen) },
+var Figures = map[string]func(*emulator.Result) float64{
+	"g":         func(r *emulator.Result) float64 { return r.G },
+	"whole":     func(r *emulator.Result) float64 { return r.Whole },
+	"worst":     func(r *emulator.Result) float64 { return r.WorstWindow },
+	"p50":       func(r *emulator.Result) float64 { return r.Latency.P50.Seconds() * 1000 },
+	"p99":       func(r *emulator.Result) float64 { return r.Latency.P99.Seconds() * 1000 },
+	"p999":      func(r *emulator.Result) float64 { return r.Latency.P999.Seconds() * 1000 },
+	"lists":     func(r *emulator.Result) float64 { return float64(r.Lists.Asked) },
+	"list-peak": func(r *emulator.Result) float64 { return float64(r.Lists.Peak) },
+	"behind":    func(r *emulator.Result) float64 { return float64(r.Lists.Behind) },
+	"openings": func(r *emulator.Result) float64 {
+		return 1000 * float64(r.Openings) / float64(max(1, r.Asked))
+	},
+	"attempts":   func(r *emulator.Result) float64 { return float64(r.Attempts) / float64(max(1, r.Asked)) },
+	"refused":    func(r *emulator.Result) float64 { return float64(r.Outcomes[1]) / float64(max(1, r.Asked)) },
+	"wasted":     func(r *emulator.Result) float64 { return r.Wasted / max(1e-9, r.Work) },
+	"broken":     func(r *emulator.Result) float64 { return float64(r.Rules()) },
+	"held-back":  func(r *emulator.Result) float64 { return float64(r.HeldBack) },
+	"turned":     func(r *emulator.Result) float64 { return float64(turned(r)) },
+	"dead-legs":  func(r *emulator.Result) float64 { return float64(r.DeadLegs) },
+	"connection": func(r *emulator.Result) float64 { return float64(r.MostOpen) },
 }
 
-func turned(r *world.Result) (n int) {
+func turned(r *emulator.Result) (n int) {
 	for _, c := range r.Turned {
 		n += c
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	lg "lilacglade"
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/virtual"
 	"lilacglade/internal/reducer"
-	"lilacglade/internal/world"
 )
 
 // TestSameSeedSameEvents plays 50 random scenarios twice: the same hash, every try ended once, no
@@ -105,7 +105,7 @@
 	sc, err := With([]byte("servers:\n  models:\n  - {name: a, share: 1, cores: 2, speed: 1}\n"),
 		[]Setting{{"servers.models.0.cores", "4"}, {"clients.retries.how", "none"}, {"duration", "5s"}})
 	if err != nil || sc.Servers.Models[0].Cores != 4 || sc.Clients.Retries.How != "none" ||
-		sc.Duration != 5*time.Second || sc.Servers.Room != world.Lakeshore().Servers.Room {
+		sc.Duration != 5*time.Second || sc.Servers.Room != emulator.Lakeshore().Servers.Room {
 		t.Errorf("%+v, %v", sc, err)
 	}
 	raw, err := Dump(sc)
@@ -149,7 +149,7 @@
 		}
 		found = f
 	}
-	if found == nil || found.Kind != string(world.RuleLost) {
+	if found == nil || found.Kind != string(emulator.RuleLost) {
 		t.Fatalf("found %+v", found)
 	}
 	first := s.Scenario(found.From)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -17,13 +17,13 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"lilacglade/internal/world"
+	"lilacglade/internal/emulator"
 )
 
 func ms(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()*1000) }
 
 // Table prints a run's result for a terminal.
-func Table(out io.Writer, r *world.Result) error {
+func Table(out io.Writer, r *emulator.Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, format string, args ...any) {
 		fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...))
@@ -33,7 +33,7 @@
 	row("service", "whole %.4f, worst window %.4f (from %d s)", r.Whole, r.WorstWindow, r.WorstFrom)
 	for _, m := range []struct {
 		name string
-		of   map[string]world.Share
+		of   map[string]emulator.Share
 	}{{"class", r.Classes}, {"township", r.Tenants}} {
 		for _, name := range sorted(m.of) {
 			row(m.name+" "+name, "%.4f", m.of[name].Part())
@@ -47,7 +47,7 @@
 	var ends []string
 	for i, n := range r.Outcomes {
 		if n > 0 {
-			ends = append(ends, fmt.Sprintf("%s %d", world.Outcomes[i], n))
+			ends = append(ends, fmt.Sprintf("%s %d", emulator.Outcomes[i], n))
 		}
 	}
 	row("tries", "%d: %s", r.Asked, strings.Join(ends, ", "))
@@ -134,7 +134,7 @@
 	return all
 }
 
-func (g *group) mean(figure func(*world.Result) float64) float64 {
+func (g *group) mean(figure func(*emulator.Result) float64) float64 {
 	sum := 0.0
 	for _, r := range g.records {
 		sum += figure(r.Result)
@@ -269,7 +269,7 @@
 }
 
 // bySecond averages a figure of each second over a group's runs.
-func bySecond(figure func(world.Second) float64) func(*group) plotter.XYs {
+func bySecond(figure func(emulator.Second) float64) func(*group) plotter.XYs {
 	return func(g *group) plotter.XYs {
 		var pts plotter.XYs
 		for i := range g.records[0].Seconds {
@@ -291,7 +291,7 @@
 }
 
 // inFlight gives each server's requests in flight in a group's first run.
-func perServer(figure func(world.Second, int) float64) func(*group) plotter.XYs {
+func perServer(figure func(emulator.Second, int) float64) func(*group) plotter.XYs {
 	return func(g *group) plotter.XYs {
 		r := g.records[0]
 		var pts plotter.XYs
@@ -313,7 +313,7 @@
 
 var charts = []chart{
 	{file: "service", title: "service over time", x: "s", y: "worth served / asked",
-		points: bySecond(func(s world.Second) float64 {
+		points: bySecond(func(s emulator.Second) float64 {
 			if s.Offered == 0 {
 				return math.NaN()
 			}
@@ -334,11 +334,11 @@
 			return pts
 		}},
 	{file: "in-flight", title: "requests in flight over time", x: "s", y: "at all servers",
-		points: bySecond(func(s world.Second) float64 { return float64(s.InFlight) })},
+		points: bySecond(func(s emulator.Second) float64 { return float64(s.InFlight) })},
 	{file: "by-server", title: "mean requests in flight by server", x: "server", y: "requests",
-		points: perServer(func(s world.Second, i int) float64 { return float64(s.Held[i]) })},
+		points: perServer(func(s emulator.Second, i int) float64 { return float64(s.Held[i]) })},
 	{file: "connections", title: "connections to servers over time", x: "s", y: "open",
-		points: bySecond(func(s world.Second) float64 { return float64(s.Conns) })},
+		points: bySecond(func(s emulator.Second) float64 { return float64(s.Conns) })},
 	{file: "most-connections", title: "most connections by server", x: "server", y: "open at once",
 		points: func(g *group) plotter.XYs {
 			var pts plotter.XYs
@@ -348,9 +348,9 @@
 			return pts
 		}},
 	{file: "refusals", title: "refusals", x: "s", y: "tries refused",
-		points: bySecond(func(s world.Second) float64 { return float64(s.Refused) })},
+		points: bySecond(func(s emulator.Second) float64 { return float64(s.Refused) })},
 	{file: "retries", title: "attempts for a try", x: "s", y: "attempts",
-		points: bySecond(func(s world.Second) float64 {
+		points: bySecond(func(s emulator.Second) float64 {
 			if s.Tries == 0 {
 				return math.NaN()
 			}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -13,7 +13,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"lilacglade/internal/world"
+	"lilacglade/internal/emulator"
 )
 
 // maxScenario bounds a scenario file, in bytes: beyond it something else was named by mistake.
@@ -21,7 +21,7 @@
 
 // Load reads a scenario file. What it leaves out is as on the deployment's calm day. An error names
 // the file, the line and the key.
-func Load(path string) (*world.Scenario, []byte, error) {
+func Load(path string) (*emulator.Scenario, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, nil, err
@@ -41,8 +41,8 @@
 }
 
 // Parse reads a scenario. Keys that don't exist, and values that can't be meant, are errors.
-func Parse(raw []byte) (*world.Scenario, error) {
-	sc := world.Lakeshore()
+func Parse(raw []byte) (*emulator.Scenario, error) {
+	sc := emulator.Lakeshore()
 	if len(bytes.TrimSpace(raw)) > 0 {
 		if err := yaml.UnmarshalWithOptions(raw, &sc, yaml.Strict()); err != nil {
 			return nil, errors.New(strings.TrimSpace(yaml.FormatError(err, false, true)))
@@ -79,7 +79,7 @@
 
 // With reads a scenario with settings changed. A path is made of keys and, for lists, of numbers,
 // with dots between them: troubles.0.size.
-func With(raw []byte, settings []Setting) (*world.Scenario, error) {
+func With(raw []byte, settings []Setting) (*emulator.Scenario, error) {
 	if len(settings) == 0 {
 		return Parse(raw)
 	}
@@ -137,13 +137,13 @@
 }
 
 // Dump writes a scenario whole, as Load reads it.
-func Dump(sc *world.Scenario) ([]byte, error) { return yaml.Marshal(sc) }
+func Dump(sc *emulator.Scenario) ([]byte, error) { return yaml.Marshal(sc) }
 
 // Brief writes what a scenario has that the deployment's calm day has not, as Load reads it.
-func Brief(sc *world.Scenario) ([]byte, error) {
-	calm := world.Lakeshore()
+func Brief(sc *emulator.Scenario) ([]byte, error) {
+	calm := emulator.Lakeshore()
 	var trees [2]yaml.MapSlice
-	for i, s := range []*world.Scenario{sc, &calm} {
+	for i, s := range []*emulator.Scenario{sc, &calm} {
 		raw, err := Dump(s)
 		if err != nil {
 			return nil, err
--- a/internal/lab/search.go
+++ b/internal/lab/search.go
@@ -10,15 +10,15 @@
 	"sync"
 	"time"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/world"
 )
 
 // Find is a scenario on which something is wrong, in its smallest form.
 type Find struct {
 	Why      string // what is wrong
 	Kind     string // a rule's name, "unsettled" or "behind"
-	Scenario *world.Scenario
+	Scenario *emulator.Scenario
 	From     uint64 // the number of the random scenario
 	Steps    int    // reductions that kept the fault
 }
@@ -37,9 +37,9 @@
 var rivals = []string{"least", "two-choices", "round-robin"}
 
 // Scenario is the n-th random scenario.
-func (s *Search) Scenario(n uint64) *world.Scenario {
+func (s *Search) Scenario(n uint64) *emulator.Scenario {
 	rng := rand.New(rand.NewPCG(s.Seed, n))
-	sc := world.Lakeshore()
+	sc := emulator.Lakeshore()
 	sc.Name = fmt.Sprintf("found-%d-%d", s.Seed, n)
 	sc.Seed = rng.Uint64() >> 1
 	span := func(from, to time.Duration) time.Duration {
@@ -66,7 +66,7 @@
 	can := cores / 0.050 // requests a second that the fleet can do, about
 	sc.Clients.Rate = math.Round(can * (0.2 + 1.3*rng.Float64()))
 	if rng.IntN(4) == 0 {
-		sc.Clients.Burst = world.Burst{Every: 7 * time.Second, For: time.Second, Times: 1 + 3*rng.Float64()}
+		sc.Clients.Burst = emulator.Burst{Every: 7 * time.Second, For: time.Second, Times: 1 + 3*rng.Float64()}
 	}
 	sc.Clients.Keys = []int{0, 50, 1200}[rng.IntN(3)]
 	sc.Clients.Skew = []float64{0.6, 0.9, 1.3}[rng.IntN(3)]
@@ -76,14 +76,14 @@
 		sc.Classes[1].Group = []string{"all", "cell"}[rng.IntN(2)]
 	}
 	if rng.IntN(4) == 0 {
-		sc.Classes = append(sc.Classes, world.Class{Name: "album-list", Share: 0.5,
+		sc.Classes = append(sc.Classes, emulator.Class{Name: "album-list", Share: 0.5,
 			Work: 12 * time.Millisecond, Spread: 0.3,
 			Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 2, LateWorth: 0.2, Effect: "safe"})
 	}
-	kinds := world.Kinds()
+	kinds := emulator.Kinds()
 	for range 1 + rng.IntN(4) {
 		k := kinds[rng.IntN(len(kinds))]
-		t := world.Trouble{Kind: k.Name, At: span(time.Second, sc.Duration/2).Round(10 * time.Millisecond),
+		t := emulator.Trouble{Kind: k.Name, At: span(time.Second, sc.Duration/2).Round(10 * time.Millisecond),
 			For:  span(time.Second, sc.Duration/2).Round(10 * time.Millisecond),
 			Size: math.Round(100*(k.Sizes.From+rng.Float64()*(k.Sizes.To-k.Sizes.From))) / 100, Hard: rng.IntN(2) == 0,
 			Same: rng.IntN(2) == 0}
@@ -105,7 +105,7 @@
 	return &sc
 }
 
-func (s *Search) play(sc *world.Scenario, policy string) (*world.Result, error) {
+func (s *Search) play(sc *emulator.Scenario, policy string) (*emulator.Result, error) {
 	o := virtual.Options{Policy: policy}
 	if s.Options != nil {
 		s.Options(&o)
@@ -114,7 +114,7 @@
 }
 
 // fault tells what is wrong with a scenario; "" for nothing.
-func (s *Search) fault(sc *world.Scenario, kind string) (found, why string, err error) {
+func (s *Search) fault(sc *emulator.Scenario, kind string) (found, why string, err error) {
 	r, err := s.play(sc, s.Policy)
 	if err != nil {
 		return "", "", err
@@ -185,8 +185,8 @@
 }
 
 // reductions are scenarios a step simpler, the largest steps first.
-func reductions(sc *world.Scenario) (all []*world.Scenario) {
-	add := func(change func(c *world.Scenario) bool) {
+func reductions(sc *emulator.Scenario) (all []*emulator.Scenario) {
+	add := func(change func(c *emulator.Scenario) bool) {
 		c := *sc
 		c.Troubles = slices.Clone(sc.Troubles)
 		c.Classes = slices.Clone(sc.Classes)
@@ -195,51 +195,51 @@
 		}
 	}
 	for i := range sc.Troubles {
-		add(func(c *world.Scenario) bool { c.Troubles = slices.Delete(c.Troubles, i, i+1); return true })
+		add(func(c *emulator.Scenario) bool { c.Troubles = slices.Delete(c.Troubles, i, i+1); return true })
 	}
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool {
 		c.Duration = (c.Duration / 2).Round(time.Second)
 		return c.Duration >= 2*time.Second
 	})
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool {
 		c.Duration = (c.Duration * 4 / 5).Round(time.Second)
 		return c.Duration >= 2*time.Second
 	})
-	add(func(c *world.Scenario) bool { c.Proxies.Count /= 2; return c.Proxies.Count >= 1 })
-	add(func(c *world.Scenario) bool { // fewer servers, and as much less to do
+	add(func(c *emulator.Scenario) bool { c.Proxies.Count /= 2; return c.Proxies.Count >= 1 })
+	add(func(c *emulator.Scenario) bool { // fewer servers, and as much less to do
 		n := c.Servers.Count / 2
 		c.Clients.Rate *= float64(n) / float64(c.Servers.Count)
 		c.Servers.Count = n
 		return n >= 1
 	})
-	add(func(c *world.Scenario) bool { c.Zones = c.Zones[:len(c.Zones)-1]; return len(c.Zones) > 0 })
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool { c.Zones = c.Zones[:len(c.Zones)-1]; return len(c.Zones) > 0 })
+	add(func(c *emulator.Scenario) bool {
 		c.Clients.Rate = math.Round(c.Clients.Rate / 2)
 		return c.Clients.Rate >= 2
 	})
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool {
 		had := c.Clients.Retries.How != "none"
 		c.Clients.Retries.How, c.Clients.Retries.Most = "none", 0
 		return had
 	})
-	add(func(c *world.Scenario) bool { had := c.Clients.Keys > 0; c.Clients.Keys = 0; return had })
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool { had := c.Clients.Keys > 0; c.Clients.Keys = 0; return had })
+	add(func(c *emulator.Scenario) bool {
 		had := c.Clients.Burst.Every > 0
-		c.Clients.Burst = world.Burst{}
+		c.Clients.Burst = emulator.Burst{}
 		return had
 	})
-	add(func(c *world.Scenario) bool {
+	add(func(c *emulator.Scenario) bool {
 		had := c.Servers.Crowd.Waiting > 0
 		c.Servers.Crowd.Waiting = 0
 		return had
 	})
-	add(func(c *world.Scenario) bool { had := c.Proxies.Step > 0; c.Proxies.Step = 0; return had })
+	add(func(c *emulator.Scenario) bool { had := c.Proxies.Step > 0; c.Proxies.Step = 0; return had })
 	for i, t := range sc.Troubles {
-		add(func(c *world.Scenario) bool {
+		add(func(c *emulator.Scenario) bool {
 			c.Troubles[i].For = (t.For / 2).Round(10 * time.Millisecond)
 			return t.For > time.Second
 		})
-		add(func(c *world.Scenario) bool {
+		add(func(c *emulator.Scenario) bool {
 			c.Troubles[i].At = (t.At / 2).Round(10 * time.Millisecond)
 			return t.At > time.Second
 		})
--- a/internal/lab/sockets/driver.go
+++ b/internal/lab/sockets/driver.go
@@ -8,17 +8,17 @@
 	"strconv"
 	"time"
 
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/http1"
-	"lilacglade/internal/world"
 )
 
 // Clients.
 
 // body is what a client sends with a request, so that a server can tell whether it came unchanged.
-func body(a *world.Ask) string { return fmt.Sprintf("%0200x", a.Token()^1) }
+func body(a *emulator.Ask) string { return fmt.Sprintf("%0200x", a.Token()^1) }
 
 // Dial opens a client's leg.
-func (s *Sim) Dial(l *world.Leg) {
+func (s *Sim) Dial(l *emulator.Leg) {
 	n := s.nodes[l.Proxy]
 	go func() {
 		c, err := net.DialTimeout("tcp", n.listen, time.Second)
@@ -42,7 +42,7 @@
 }
 
 // Ask writes a request.
-func (s *Sim) Ask(l *world.Leg, a *world.Ask) {
+func (s *Sim) Ask(l *emulator.Leg, a *emulator.Ask) {
 	c, ok := l.Data.(*conn)
 	if !ok {
 		return
@@ -78,9 +78,9 @@
 }
 
 // answered reads a proxy's answer.
-func (s *Sim) answered(l *world.Leg, m *http1.Message) {
+func (s *Sim) answered(l *emulator.Leg, m *http1.Message) {
 	s.nodes[l.Proxy].heardOf()
-	ans := world.Answer{Status: m.Status, Last: m.Close}
+	ans := emulator.Answer{Status: m.Status, Last: m.Close}
 	if v := m.Get("Retry-After"); v != nil {
 		if sec, err := strconv.ParseFloat(string(v), 64); err == nil {
 			ans.RetryAfter = time.Duration(sec * float64(time.Second))
@@ -93,7 +93,7 @@
 }
 
 // Close closes a client's leg.
-func (s *Sim) Close(l *world.Leg) {
+func (s *Sim) Close(l *emulator.Leg) {
 	if c, ok := l.Data.(*conn); ok {
 		_ = c.Close()
 	}
@@ -116,7 +116,7 @@
 }
 
 // request takes a whole request that a proxy wrote to a server.
-func (n *node) request(h *world.Hop, c *conn, m *http1.Message) {
+func (n *node) request(h *emulator.Hop, c *conn, m *http1.Message) {
 	n.heardOf()
 	name := string(m.Get("Request-Id"))
 	a := n.sim.asks[name]
@@ -138,56 +138,56 @@
 }
 
 // Accepted ends the opening of a hop leg. On sockets the system has accepted it before the world did.
-func (s *Sim) Accepted(h *world.Hop, ok bool) {
+func (s *Sim) Accepted(h *emulator.Hop, ok bool) {
 	if c, is := h.Data.(*conn); is && !ok {
 		c.reset()
 	}
 }
 
 // Answer writes a server's answer.
-func (s *Sim) Answer(h *world.Hop, r *world.Reply) {
+func (s *Sim) Answer(h *emulator.Hop, r *emulator.Reply) {
 	c, ok := h.Data.(*conn)
 	if !ok {
 		return
 	}
 	load := fmt.Sprintf("Server-Load: inflight=%g,latency_ms=%.2f\r\n", r.Load.InFlight, r.Load.LatencyMS)
 	switch r.Kind {
-	case world.Done:
+	case emulator.Done:
 		c.send(http1.Answer(200, load, fmt.Sprintf("%016x", r.Attempt.Ask.Token()), r.Last)...)
-	case world.Failed:
+	case emulator.Failed:
 		c.send(http1.Answer(500, load, "failed", r.Last)...)
-	case world.NotStarted:
+	case emulator.NotStarted:
 		c.send(http1.Answer(503, load+"Not-Started: 1\r\n", "", r.Last)...)
-	case world.Garbled:
+	case emulator.Garbled:
 		c.send([]byte("HTTP/1.1 2\x00x\r\nContent-Length: -7\r\n\r\n\xff\xfe noise"))
 	}
 }
 
 // Reset breaks a hop leg.
-func (s *Sim) Reset(h *world.Hop) {
+func (s *Sim) Reset(h *emulator.Hop) {
 	if c, ok := h.Data.(*conn); ok {
 		c.reset()
 	}
 }
 
 // End closes a hop leg that was idle.
-func (s *Sim) End(h *world.Hop) {
+func (s *Sim) End(h *emulator.Hop) {
 	if c, ok := h.Data.(*conn); ok {
 		_ = c.Close()
 	}
 }
 
 // Reach sets what new connections to a server meet.
-func (s *Sim) Reach(server *world.Server, r world.Reach) {
+func (s *Sim) Reach(server *emulator.Server, r emulator.Reach) {
 	for _, n := range s.nodes {
 		d := n.servers[server.Index]
 		var err error
 		switch r {
-		case world.Open:
+		case emulator.Open:
 			err = d.listen()
-		case world.Refused:
+		case emulator.Refused:
 			d.close()
-		case world.Silent:
+		case emulator.Silent:
 			err = d.silence()
 		}
 		if err != nil {
@@ -201,7 +201,7 @@
 // call is a call to discovery whose answer is owed.
 type call struct {
 	conn *conn
-	look *world.Lookup
+	look *emulator.Lookup
 }
 
 // lookups takes a proxy's calls to discovery at an address.
@@ -233,7 +233,7 @@
 }
 
 // Tell writes discovery's answer.
-func (s *Sim) Tell(c *world.Lookup, d *world.Doc) {
+func (s *Sim) Tell(c *emulator.Lookup, d *emulator.Doc) {
 	out, ok := c.Data.(*call)
 	if !ok {
 		return
@@ -245,10 +245,10 @@
 	out.conn.send(http1.Answer(200, "", string(s.nodes[c.Proxy].document(d)), false)...)
 }
 
-var lifecycles = [...]string{world.Ready: "ready", world.Draining: "draining", world.Gone: "gone"}
+var lifecycles = [...]string{emulator.Ready: "ready", emulator.Draining: "draining", emulator.Gone: "gone"}
 
 // document words discovery's list as one proxy is to see it.
-func (n *node) document(d *world.Doc) []byte {
+func (n *node) document(d *emulator.Doc) []byte {
 	type instance struct {
 		ID      string  `json:"instanceId"`
 		Addr    string  `json:"hostPort"`
--- a/internal/lab/sockets/sockets.go
+++ b/internal/lab/sockets/sockets.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lilacglade/internal/world"
+	"lilacglade/internal/emulator"
 )
 
 // Options are what a run has beyond its scenario.
@@ -31,15 +31,15 @@
 
 // Sim is a run. One goroutine owns it and its world; sockets and processes post to it.
 type Sim struct {
-	sc      *world.Scenario
+	sc      *emulator.Scenario
 	opt     Options
-	world   *world.World
+	world   *emulator.World
 	began   time.Time // when the world's clock read 0
 	mu      sync.Mutex
 	items   []item
 	wake    chan struct{}
 	nodes   []*node
-	asks    map[string]*world.Ask
+	asks    map[string]*emulator.Ask
 	old     []string // names of asks in the order made, to forget the oldest
 	late    *hdrhistogram.Histogram
 	failure error
@@ -80,7 +80,7 @@
 )
 
 // Run plays a scenario.
-func Run(sc *world.Scenario, opt Options) (*world.Result, error) {
+func Run(sc *emulator.Scenario, opt Options) (*emulator.Result, error) {
 	if err := sc.Check(); err != nil {
 		return nil, err
 	}
@@ -88,10 +88,10 @@
 		return nil, fmt.Errorf("sockets mode plays at most %d proxies, %d servers and %d requests a second",
 			mostProxies, mostServers, mostRate)
 	}
-	s := &Sim{sc: sc, opt: opt, place: <-places, wake: make(chan struct{}, 1), asks: map[string]*world.Ask{},
+	s := &Sim{sc: sc, opt: opt, place: <-places, wake: make(chan struct{}, 1), asks: map[string]*emulator.Ask{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 	defer func() { places <- s.place }()
-	s.world = world.New(sc, s)
+	s.world = emulator.New(sc, s)
 	s.world.RealTime()
 	defer s.shut()
 	if err := s.open(); err != nil {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -7,11 +7,11 @@
 	"time"
 
 	lg "lilacglade"
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/pool"
 	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/textbook"
-	"lilacglade/internal/world"
 )
 
 // Module is the name of the decision module among the policies.
@@ -53,15 +53,15 @@
 
 // Sim is a run. New makes one.
 type Sim struct {
-	sc      *world.Scenario
+	sc      *emulator.Scenario
 	opt     Options
-	world   *world.World
+	world   *emulator.World
 	nodes   []*node
 	crashes int
 }
 
 // New makes the world of a scenario and its proxies, ready to Run.
-func New(sc *world.Scenario, opt Options) (*Sim, error) {
+func New(sc *emulator.Scenario, opt Options) (*Sim, error) {
 	if err := sc.Check(); err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("pool %q is unknown", opt.Pool)
 	}
 	s := &Sim{sc: sc, opt: opt}
-	s.world = world.New(sc, s)
+	s.world = emulator.New(sc, s)
 	s.world.Follow(opt.Follow)
 	for i := range sc.Proxies.Count {
 		s.nodes = append(s.nodes, &node{sim: s, id: i})
@@ -86,10 +86,10 @@
 }
 
 // World is the world of the run.
-func (s *Sim) World() *world.World { return s.world }
+func (s *Sim) World() *emulator.World { return s.world }
 
 // Run plays the scenario to its end and past it, until nothing can be out any more.
-func (s *Sim) Run() *world.Result {
+func (s *Sim) Run() *emulator.Result {
 	var began time.Time
 	if s.opt.Clock != nil {
 		began = s.opt.Clock()
@@ -116,7 +116,7 @@
 }
 
 // Run plays a scenario.
-func Run(sc *world.Scenario, opt Options) (*world.Result, error) {
+func Run(sc *emulator.Scenario, opt Options) (*emulator.Result, error) {
 	s, err := New(sc, opt)
 	if err != nil {
 		return nil, err
@@ -137,24 +137,24 @@
 	last      reducer.LegID
 	addresses map[lg.ServerID]int
 	version   uint64
-	watch     *world.Lookup
+	watch     *emulator.Lookup
 	address   string // where it asks discovery
-	asked     *world.Ask
+	asked     *emulator.Ask
 	ids       map[lg.RequestID]bool // that of the followed request
 	stopping  bool
 }
 
 type callerLeg struct {
 	id   reducer.LegID
-	leg  *world.Leg
-	ask  *world.Ask
+	leg  *emulator.Leg
+	ask  *emulator.Ask
 	part bool
 }
 
 type hopLeg struct {
 	id     reducer.LegID
 	server lg.ServerID
-	hop    *world.Hop
+	hop    *emulator.Hop
 	open   bool // it has come up
 	busy   bool // an answer is owed
 	stray  bool // something came that nobody asked for
@@ -217,7 +217,7 @@
 func (n *node) post(ev reducer.Event) { n.postFor(nil, ev) }
 
 // postFor posts an event that belongs to a request.
-func (n *node) postFor(ask *world.Ask, ev reducer.Event) {
+func (n *node) postFor(ask *emulator.Ask, ev reducer.Event) {
 	w := n.sim.world
 	at := max(w.Clock.Now(), n.busy)
 	n.busy = at + n.sim.sc.Proxies.Step
@@ -230,7 +230,7 @@
 	})
 }
 
-func (n *node) step(ask *world.Ask, ev reducer.Event) {
+func (n *node) step(ask *emulator.Ask, ev reducer.Event) {
 	if n.sim.opt.Deafen != nil && n.sim.opt.Deafen(n.id, ev) {
 		return
 	}
@@ -285,11 +285,11 @@
 		if w.Followed(ask) {
 			w.Tracef("effect   proxy %d: %s verdict %d, advice %v", n.id, effects[e.Do], e.Verdict, e.Advice)
 		}
-		ans := world.Answer{RetryAfter: e.Advice, Last: e.Last}
+		ans := emulator.Answer{RetryAfter: e.Advice, Last: e.Last}
 		switch e.Verdict {
 		case reducer.Served:
 			ans.Status = 200
-			if r, ok := e.Payload.(*world.Reply); ok {
+			if r, ok := e.Payload.(*emulator.Reply); ok {
 				ans.Token = r.Attempt.Ask.Token()
 			}
 		case reducer.Busy:
@@ -364,7 +364,7 @@
 
 func (n *node) forward(e reducer.Effect) {
 	w := n.sim.world
-	ask, ok := e.Payload.(*world.Ask)
+	ask, ok := e.Payload.(*emulator.Ask)
 	h := n.hops[e.Leg]
 	if !ok {
 		return
@@ -411,10 +411,10 @@
 	})
 }
 
-var states = [...]lg.State{world.Ready: lg.Ready, world.Draining: lg.Draining, world.Gone: lg.Gone}
+var states = [...]lg.State{emulator.Ready: lg.Ready, emulator.Draining: lg.Draining, emulator.Gone: lg.Gone}
 
 // list turns discovery's answer into the reducer's.
-func (n *node) list(d *world.Doc) lg.List {
+func (n *node) list(d *emulator.Doc) lg.List {
 	list := lg.List{Kind: lg.Changes}
 	if d.Full {
 		list.Kind = lg.FullList
@@ -426,7 +426,7 @@
 		if e.Started > 0 {
 			l.Started = longAgo + e.Started
 		}
-		if e.State == world.Gone {
+		if e.State == emulator.Gone {
 			delete(n.addresses, id)
 		} else {
 			n.addresses[id] = e.Address
@@ -454,7 +454,7 @@
 // The world's driver.
 
 // Dial opens a caller leg.
-func (s *Sim) Dial(l *world.Leg) {
+func (s *Sim) Dial(l *emulator.Leg) {
 	n := s.nodes[l.Proxy]
 	if n.state == nil || n.stopping && len(n.callers) == 0 {
 		s.world.Clock.At(s.world.Clock.Now(), func() { s.world.Dialed(l, false) })
@@ -469,7 +469,7 @@
 }
 
 // Ask brings a request in.
-func (s *Sim) Ask(l *world.Leg, a *world.Ask) {
+func (s *Sim) Ask(l *emulator.Leg, a *emulator.Ask) {
 	n := s.nodes[l.Proxy]
 	c, ok := l.Data.(*callerLeg)
 	if !ok || n.state == nil {
@@ -481,7 +481,7 @@
 }
 
 // Close closes a caller leg from the client's side.
-func (s *Sim) Close(l *world.Leg) {
+func (s *Sim) Close(l *emulator.Leg) {
 	n := s.nodes[l.Proxy]
 	c, ok := l.Data.(*callerLeg)
 	if !ok || n.state == nil {
@@ -493,7 +493,7 @@
 }
 
 // hop finds the leg of a connection, unless the proxy has closed it or is gone.
-func (s *Sim) hop(h *world.Hop) (*node, *hopLeg) {
+func (s *Sim) hop(h *emulator.Hop) (*node, *hopLeg) {
 	l, ok := h.Data.(*hopLeg)
 	n := s.nodes[h.Proxy]
 	if !ok || n.state == nil || n.hops[l.id] != l {
@@ -503,7 +503,7 @@
 }
 
 // Accepted ends a Dial.
-func (s *Sim) Accepted(h *world.Hop, ok bool) {
+func (s *Sim) Accepted(h *emulator.Hop, ok bool) {
 	n, l := s.hop(h)
 	if n == nil {
 		return
@@ -516,7 +516,7 @@
 }
 
 // Answer brings a server's answer.
-func (s *Sim) Answer(h *world.Hop, r *world.Reply) {
+func (s *Sim) Answer(h *emulator.Hop, r *emulator.Reply) {
 	n, l := s.hop(h)
 	if n == nil {
 		return
@@ -530,24 +530,24 @@
 	l.busy = false
 	ev := reducer.HopAnswered{Leg: l.id, Result: lg.OK, Payload: r, Keep: !r.Last}
 	switch r.Kind {
-	case world.Failed:
+	case emulator.Failed:
 		ev.Result = lg.ServerError
-	case world.NotStarted:
+	case emulator.NotStarted:
 		ev.Result = lg.Full
-	case world.Garbled:
+	case emulator.Garbled:
 		ev.Result, ev.Keep = lg.ServerError, false
 	}
-	if r.Kind != world.Garbled {
+	if r.Kind != emulator.Garbled {
 		ev.Load = lg.LoadReport{N: 2, Values: [4]float64{r.Load.InFlight, r.Load.LatencyMS}}
 	}
 	n.postFor(ask, ev)
 }
 
 // Reset breaks a hop leg.
-func (s *Sim) Reset(h *world.Hop) { s.End(h) }
+func (s *Sim) Reset(h *emulator.Hop) { s.End(h) }
 
 // End closes a hop leg from the server's side.
-func (s *Sim) End(h *world.Hop) {
+func (s *Sim) End(h *emulator.Hop) {
 	n, l := s.hop(h)
 	if n == nil {
 		return
@@ -561,7 +561,7 @@
 }
 
 // Tell brings discovery's answer.
-func (s *Sim) Tell(c *world.Lookup, d *world.Doc) {
+func (s *Sim) Tell(c *emulator.Lookup, d *emulator.Doc) {
 	n := s.nodes[c.Proxy]
 	if n.state == nil || n.watch != c {
 		return
@@ -620,7 +620,7 @@
 }
 
 // Reach is nothing to do here: the world itself refuses connections, or keeps silent.
-func (s *Sim) Reach(*world.Server, world.Reach) {}
+func (s *Sim) Reach(*emulator.Server, emulator.Reach) {}
 
 // followed shows a decider's events and actions for the request that is traced.
 type followed struct {
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	lg "lilacglade"
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/reducer"
-	"lilacglade/internal/world"
 )
 
 // small is a short day of a small fleet, with troubles.
-func small(troubles ...world.Trouble) *world.Scenario {
-	sc := world.Lakeshore()
+func small(troubles ...emulator.Trouble) *emulator.Scenario {
+	sc := emulator.Lakeshore()
 	sc.Name, sc.Duration = "small", 8*time.Second
 	sc.Zones, sc.Proxies.Count, sc.Servers.Count = sc.Zones[:2], 2, 6
 	sc.Clients.Rate, sc.Clients.Keys = 120, 200
@@ -22,7 +22,7 @@
 	return &sc
 }
 
-func run(t *testing.T, sc *world.Scenario, opt Options) *world.Result {
+func run(t *testing.T, sc *emulator.Scenario, opt Options) *emulator.Result {
 	t.Helper()
 	r, err := Run(sc, opt)
 	if err != nil {
@@ -96,14 +96,14 @@
 func TestListServiceIsSpared(t *testing.T) {
 	for _, proxies := range []int{3, 36, 300} {
 		for _, release := range []bool{false, true} {
-			sc := world.Lakeshore()
+			sc := emulator.Lakeshore()
 			sc.Name, sc.Duration, sc.Proxies.Count, sc.Servers.Count = "spared", 40*time.Second, proxies, 40
 			sc.Clients.Rate, sc.Clients.Keys = 100, 1000
 			sc.Discovery.Work = min(50*time.Millisecond, 4*sc.Proxies.AskEvery/time.Duration(5*proxies))
 			sc.Discovery.PerEntry = 0
 			sc.Discovery.Patience = 3 * time.Second
 			if release {
-				sc.Troubles = []world.Trouble{{Kind: "rolling", At: 12 * time.Second, For: time.Second, Count: 2,
+				sc.Troubles = []emulator.Trouble{{Kind: "rolling", At: 12 * time.Second, For: time.Second, Count: 2,
 					Every: 400 * time.Millisecond}}
 			}
 			r := run(t, &sc, Options{})
@@ -121,47 +121,47 @@
 
 // TestJudgeCatches plays, for every rule, a decider or a driver that breaks it on purpose.
 func TestJudgeCatches(t *testing.T) {
-	hang := world.Trouble{Kind: "reset", At: time.Second, For: 5 * time.Second, Size: 0.5}
-	rolling := world.Trouble{Kind: "rolling", At: time.Second, For: 5 * time.Second, Count: 2,
+	hang := emulator.Trouble{Kind: "reset", At: time.Second, For: 5 * time.Second, Size: 0.5}
+	rolling := emulator.Trouble{Kind: "rolling", At: time.Second, For: 5 * time.Second, Count: 2,
 		Every: 2 * time.Second}
 	again := func(b *blind, ev lg.Outcome) []lg.Action {
 		return []lg.Action{{Do: lg.Send, Request: ev.Request, Server: b.next()}}
 	}
 	for _, tc := range []struct {
 		name    string
-		want    world.Rule
-		sc      *world.Scenario
+		want    emulator.Rule
+		sc      *emulator.Scenario
 		decider *blind
 		tamper  func(proxy int, e reducer.Effect) []reducer.Effect
 		deafen  func(proxy int, ev reducer.Event) bool
 	}{
-		{name: "an unsafe request sent again after a reset", want: world.RuleTwice, sc: small(hang),
+		{name: "an unsafe request sent again after a reset", want: emulator.RuleTwice, sc: small(hang),
 			decider: &blind{again: again}},
-		{name: "more attempts than allowed", want: world.RuleTries, sc: func() *world.Scenario {
+		{name: "more attempts than allowed", want: emulator.RuleTries, sc: func() *emulator.Scenario {
 			sc := small(hang)
 			sc.Proxies.MaxTries = 1
 			return sc
 		}(), decider: &blind{again: again}},
-		{name: "a server that drains is still sent to", want: world.RuleDrain, sc: small(rolling),
+		{name: "a server that drains is still sent to", want: emulator.RuleDrain, sc: small(rolling),
 			deafen: func(_ int, ev reducer.Event) bool {
 				told, ok := ev.(reducer.ListTold)
 				return ok && told.List.Kind == lg.Changes && len(told.List.Servers) > 0
 			}},
-		{name: "a refusal of what may have run", want: world.RuleRefused, sc: small(hang),
+		{name: "a refusal of what may have run", want: emulator.RuleRefused, sc: small(hang),
 			decider: &blind{}, tamper: func(_ int, e reducer.Effect) []reducer.Effect {
 				if e.Do == reducer.AnswerCaller && e.Verdict != reducer.Served {
 					e.Verdict = reducer.Busy
 				}
 				return []reducer.Effect{e}
 			}},
-		{name: "an answer that is never written", want: world.RuleLost, sc: small(),
+		{name: "an answer that is never written", want: emulator.RuleLost, sc: small(),
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
 				if e.Do == reducer.AnswerCaller && e.Leg%7 == 0 {
 					return nil
 				}
 				return []reducer.Effect{e}
 			}},
-		{name: "an answer that no server made", want: world.RuleLost, sc: small(), decider: &blind{
+		{name: "an answer that no server made", want: emulator.RuleLost, sc: small(), decider: &blind{
 			arrive: func(_ *blind, ev lg.Request) []lg.Action { return []lg.Action{{Do: lg.Fail, Request: ev.ID}} }},
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
 				if e.Do == reducer.AnswerCaller {
@@ -169,14 +169,14 @@
 				}
 				return []reducer.Effect{e}
 			}},
-		{name: "two answers", want: world.RuleLost, sc: small(),
+		{name: "two answers", want: emulator.RuleLost, sc: small(),
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
 				if e.Do == reducer.AnswerCaller {
 					return []reducer.Effect{e, e}
 				}
 				return []reducer.Effect{e}
 			}},
-		{name: "two branches at once", want: world.RuleAtOnce, sc: small(),
+		{name: "two branches at once", want: emulator.RuleAtOnce, sc: small(),
 			tamper: func() func(int, reducer.Effect) []reducer.Effect {
 				legs := map[[2]uint64]bool{}
 				return func(p int, e reducer.Effect) []reducer.Effect {
@@ -195,10 +195,10 @@
 					return out
 				}
 			}()},
-		{name: "a cold server gets everything", want: world.RuleCold, sc: func() *world.Scenario {
-			sc := small(world.Trouble{Kind: "crash", At: time.Second, For: time.Second, Servers: []int{0}})
+		{name: "a cold server gets everything", want: emulator.RuleCold, sc: func() *emulator.Scenario {
+			sc := small(emulator.Trouble{Kind: "crash", At: time.Second, For: time.Second, Servers: []int{0}})
 			sc.Clients.Rate, sc.Duration, sc.Servers.Room = 200, 14*time.Second, 200
-			sc.Discovery.Late, sc.Discovery.Detect = world.Span{}, world.Span{}
+			sc.Discovery.Late, sc.Discovery.Detect = emulator.Span{}, emulator.Span{}
 			return sc
 		}(), decider: &blind{arrive: func(b *blind, ev lg.Request) []lg.Action {
 			server := b.next()
@@ -228,7 +228,7 @@
 		})
 	}
 	// A run that ends with work still out: all of it is counted (run checks that).
-	run(t, small(world.Trouble{Kind: "hang", At: 6 * time.Second, For: time.Hour}), Options{})
+	run(t, small(emulator.Trouble{Kind: "hang", At: 6 * time.Second, For: time.Hour}), Options{})
 	if r := run(t, small(hang, rolling), Options{}); r.Rules() > 0 {
 		t.Errorf("the module itself: %v", r.Breaks)
 	}
@@ -239,124 +239,125 @@
 	at, long := 2*time.Second, 5*time.Second
 	calm := run(t, small(), Options{Policy: "random"})
 	part := func(n, of int) float64 { return float64(n) / float64(max(1, of)) }
-	failed := func(r *world.Result) int { return r.Asked - r.Outcomes[0] }
+	failed := func(r *emulator.Result) int { return r.Asked - r.Outcomes[0] }
 	for _, tc := range []struct {
-		trouble world.Trouble
+		trouble emulator.Trouble
 		policy  string
-		check   func(r *world.Result) string
+		check   func(r *emulator.Result) string
 	}{
-		{world.Trouble{Kind: "slow", Size: 4}, "random", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "slow", Size: 4}, "random", func(r *emulator.Result) string {
 			// The same work, done four times slower by all: the fleet can't keep up.
 			if r.Latency.P90 < 3*calm.Latency.P90 {
 				return "latency hardly rose"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "hang", Count: 3}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "hang", Count: 3}, "random-once", func(r *emulator.Result) string {
 			if p := part(r.Outcomes[2]+r.Outcomes[3], r.Asked); p < 0.2 || p > 0.45 {
 				return fmt.Sprintf("failed %.2f, want half of five eighths", p)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "hang", Class: "photo-upload"}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "hang", Class: "photo-upload"}, "random-once", func(r *emulator.Result) string {
 			if r.Classes["album-edit"].Part() < 0.9 || r.Classes["photo-upload"].Part() > 0.7 {
 				return "want uploads to fail and edits to go on"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "neighbour", Size: 0.8}, "random", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "neighbour", Size: 0.8}, "random", func(r *emulator.Result) string {
 			if r.Latency.P90 < calm.Latency.P90*3/2 {
 				return "latency hardly rose"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "tail", Size: 0.05}, "random", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "tail", Size: 0.05}, "random", func(r *emulator.Result) string {
 			if r.Work < 1.2*calm.Work {
 				return fmt.Sprintf("work %.1f of calm %.1f", r.Work, calm.Work)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "crash", Count: 3}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "crash", Count: 3}, "random-once", func(r *emulator.Result) string {
 			if failed(r) == 0 || r.Servers[0].Openings+r.Servers[1].Openings == 0 {
 				return "nobody noticed"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "vanish", Count: 3}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "vanish", Count: 3}, "random-once", func(r *emulator.Result) string {
 			if p := part(failed(r), r.Asked); p < 0.05 {
 				return fmt.Sprintf("failed %.2f", p)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "garble", Size: 0.4}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "garble", Size: 0.4}, "random-once", func(r *emulator.Result) string {
 			if p := part(r.Outcomes[2], r.Asked); p < 0.15 || p > 0.35 {
 				return fmt.Sprintf("failed %.2f, want 0.4 of five eighths", p)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "reset", Size: 0.4}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "reset", Size: 0.4}, "random-once", func(r *emulator.Result) string {
 			if p := part(r.Outcomes[2], r.Asked); p < 0.15 || p > 0.35 || r.Openings < 2*calm.Openings {
 				return fmt.Sprintf("failed %.2f, %d openings", p, r.Openings)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "errors", Size: 1}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "errors", Size: 1}, "random-once", func(r *emulator.Result) string {
 			if p := part(r.Outcomes[2], r.Asked); p < 0.5 || p > 0.7 {
 				return fmt.Sprintf("failed %.2f, want five eighths", p)
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "idle-drop", Size: 0.3}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "idle-drop", Size: 0.3}, "random-once", func(r *emulator.Result) string {
 			if r.DeadLegs == 0 || r.Outcomes[2] == 0 {
 				return "no leg was dropped"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "refuse"}, "random-once", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "refuse"}, "random-once", func(r *emulator.Result) string {
 			if r.Outcomes[1] == 0 && r.Openings >= calm.Openings {
 				return "openings went on"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "stale", Size: 0.1}, "module", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "stale", Size: 0.1}, "module", func(r *emulator.Result) string {
 			if r.Hash == run(t, small(), Options{}).Hash {
 				return "nothing differs from a calm day"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "discovery"}, "module", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "discovery"}, "module", func(r *emulator.Result) string {
 			if r.G < 0.9 {
 				return "service fell although no server did"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "move"}, "module", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "move"}, "module", func(r *emulator.Result) string {
 			if r.G < 0.9 {
 				return "service fell although no server did"
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "rolling", Count: 2, Every: time.Second}, "module", func(r *world.Result) string {
-			if r.Servers[0].Name == "s-0" && r.Servers[1].Name == "s-1" && r.Servers[2].Name == "s-2" &&
-				r.Servers[3].Name == "s-3" && r.Servers[4].Name == "s-4" && r.Servers[5].Name == "s-5" {
-				return "no server was replaced"
-			}
-			return ""
-		}},
-		{world.Trouble{Kind: "proxies", Hard: true, Every: 2 * time.Second}, "module",
-			func(r *world.Result) string {
+		{emulator.Trouble{Kind: "rolling", Count: 2, Every: time.Second}, "module",
+			func(r *emulator.Result) string {
+				if r.Servers[0].Name == "s-0" && r.Servers[1].Name == "s-1" && r.Servers[2].Name == "s-2" &&
+					r.Servers[3].Name == "s-3" && r.Servers[4].Name == "s-4" && r.Servers[5].Name == "s-5" {
+					return "no server was replaced"
+				}
+				return ""
+			}},
+		{emulator.Trouble{Kind: "proxies", Hard: true, Every: 2 * time.Second}, "module",
+			func(r *emulator.Result) string {
 				if r.Outcomes[6] == 0 {
 					return "no request was lost with its proxy"
 				}
 				return ""
 			}},
-		{world.Trouble{Kind: "proxies", Every: 2 * time.Second}, "module", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "proxies", Every: 2 * time.Second}, "module", func(r *emulator.Result) string {
 			if r.Outcomes[6] > 0 {
 				return fmt.Sprintf("%d requests lost to planned restarts", r.Outcomes[6])
 			}
 			return ""
 		}},
-		{world.Trouble{Kind: "flood", Tenant: "cedar-bay", Size: 3}, "module", func(r *world.Result) string {
+		{emulator.Trouble{Kind: "flood", Tenant: "cedar-bay", Size: 3}, "module", func(r *emulator.Result) string {
 			if p := part(r.Asked, calm.Asked); p < 1.15 || p > 1.5 {
 				return fmt.Sprintf("%.2f times as much asked", p)
 			}
@@ -383,13 +384,13 @@
 func TestStartsOfRandomFleets(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 27))
-		sc := world.Lakeshore()
+		sc := emulator.Lakeshore()
 		sc.Name, sc.Seed, sc.Duration = fmt.Sprint("starts-", seed), seed+1, 9*time.Second
 		sc.Proxies.Count = int(3 * math.Pow(100, rng.Float64()))
 		sc.Servers.Count = max(6, int(float64(sc.Proxies.Count)*(0.4+0.4*rng.Float64())))
 		sc.Clients.Rate = float64(sc.Servers.Count) * (8 + 14*rng.Float64())
 		sc.Clients.Keys = sc.Servers.Count * 40
-		sc.Troubles = []world.Trouble{
+		sc.Troubles = []emulator.Trouble{
 			{Kind: "crash", At: 2 * time.Second, For: time.Second, Part: 0.3},
 			{Kind: "proxies", At: 4 * time.Second, For: time.Second, Part: 0.7, Hard: true,
 				Every: time.Second / time.Duration(sc.Proxies.Count)}}
