--- a/cmd/lilalab/fleet.go
+++ b/cmd/lilalab/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/goccy/go-yaml"
 	"github.com/spf13/cobra"
 
-	"lilacglade/internal/faults"
+	"lilacglade/internal/faulttest"
 	"lilacglade/internal/maintenancesim"
 )
 
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			var sc faults.Scenario
+			var sc faulttest.Scenario
 			if err := yaml.UnmarshalWithOptions(raw, &sc, yaml.DisallowUnknownField()); err != nil {
 				return fmt.Errorf("%s: %s", args[0], yaml.FormatError(err, false, false))
 			}
@@ -55,7 +55,7 @@
 				return err
 			}
 			defer os.RemoveAll(dir)
-			report, err := faults.Run(c.Context(), sc, program, dir, func(s string) { fmt.Fprintln(out, s) })
+			report, err := faulttest.Run(c.Context(), sc, program, dir, func(s string) { fmt.Fprintln(out, s) })
 			o := report.Outcomes
 			fmt.Fprintf(out, "%d asked, %d served, %d refused, %d failed, %d lost, %d open at a process that was "+
 				"killed or paused, %d at a closed door\n",
@@ -115,17 +115,17 @@
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	play := func(sc faults.Scenario, log func(string)) (faults.Report, error) {
+	play := func(sc faulttest.Scenario, log func(string)) (faulttest.Report, error) {
 		dir, err := os.MkdirTemp("", "fleet")
 		if err != nil {
-			return faults.Report{}, err
+			return faulttest.Report{}, err
 		}
 		defer os.RemoveAll(dir)
-		return faults.Run(ctx, sc, program, dir, log)
+		return faulttest.Run(ctx, sc, program, dir, log)
 	}
 	var mu sync.Mutex
-	var total faults.Report
-	var failed *faults.Scenario
+	var total faulttest.Report
+	var failed *faulttest.Scenario
 	var first error
 	next := 0
 	var wait sync.WaitGroup
@@ -140,7 +140,7 @@
 				if stop {
 					return
 				}
-				sc := faults.Random(seed + uint64(i))
+				sc := faulttest.Random(seed + uint64(i))
 				r, err := play(sc, nil)
 				mu.Lock()
 				total.Frees += r.Frees
@@ -161,7 +161,7 @@
 	if failed == nil {
 		return nil
 	}
-	less := faults.Shrink(ctx, *failed, func(sc faults.Scenario) bool {
+	less := faulttest.Shrink(ctx, *failed, func(sc faulttest.Scenario) bool {
 		_, err := play(sc, nil)
 		return err != nil
 	})
@@ -186,7 +186,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	without, with, err := faults.IdleCost(program, dir, rounds, 16, 3*time.Second)
+	without, with, err := faulttest.IdleCost(program, dir, rounds, 16, 3*time.Second)
 	for i := range with {
 		a, b := without[i], with[i]
 		fmt.Fprintf(out, "round %d: without %.0f/s p99 %v cpu %v, with %.0f/s p99 %v cpu %v\n", i+1, a.PerSecond,
@@ -211,7 +211,7 @@
 	fmt.Fprintln(out, "| way | load | fault | worth served | lost | failed | refused | s a machine | bytes/s "+
 		"a proxy |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	row := func(c faults.OrderCost, proxies int, err error) error {
+	row := func(c faulttest.OrderCost, proxies int, err error) error {
 		o := c.Report.Outcomes
 		fmt.Fprintf(out, "| %s | %.1f | %s | %.4f | %d of %d | %d | %d | %.2f | %.0f |\n", c.Way, c.Load, c.Fault,
 			o.Worth/max(1, o.Possible), o.Lost, o.Asked, o.Failed, o.Refused, c.Each.Seconds(),
@@ -221,17 +221,17 @@
 	for range rounds {
 		for _, load := range loads {
 			for _, c := range []struct {
-				way   faults.Way
+				way   faulttest.Way
 				fault string
-			}{{faults.Idle, ""}, {faults.ByHand, ""}, {faults.ByOrder, ""}, {faults.ByOrder, "killed"},
-				{faults.ByOrder, "cut"}, {faults.ByOrder, "paused"}} {
-				cost, err := faults.MeasureOrder(ctx, program, dir, c.way, load, c.fault)
+			}{{faulttest.Idle, ""}, {faulttest.ByHand, ""}, {faulttest.ByOrder, ""}, {faulttest.ByOrder, "killed"},
+				{faulttest.ByOrder, "cut"}, {faulttest.ByOrder, "paused"}} {
+				cost, err := faulttest.MeasureOrder(ctx, program, dir, c.way, load, c.fault)
 				if err := row(cost, 3, err); err != nil {
 					return err
 				}
 			}
 		}
-		cost, err := faults.MeasureRenewal(ctx, program, dir)
+		cost, err := faulttest.MeasureRenewal(ctx, program, dir)
 		if err := row(cost, 20, err); err != nil {
 			return err
 		}
--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -127,7 +127,7 @@
 }
 
 // testOnly are the packages that are in no release build.
-var testOnly = map[string]bool{"faults": true, "soak": true, "faultlayer": true, "lab": true,
+var testOnly = map[string]bool{"faulttest": true, "soak": true, "faultlayer": true, "lab": true,
 	"emulator": true, "maintenancesim": true, "textbook": true, "checks": true}
 
 // check reads the Go files below root and returns what is wrong with them.
--- a/internal/faults/harness.go
+++ b/internal/faulttest/harness.go
@@ -1,7 +1,7 @@
-// Package faults is a test harness for several real processes of the program: relays between every two of
+// Package faulttest is a test harness for several real processes of the program: relays between every two of
 // them, by direction, signals, stand-ins for machines, discovery and clients, and the judge of what they did.
 // For tests and "lilalab fleet" only. Everything is on the loopback.
-package faults
+package faulttest
 
 import (
 	"context"
--- a/internal/faults/lookup.go
+++ b/internal/faulttest/lookup.go
@@ -1,4 +1,4 @@
-package faults
+package faulttest
 
 import (
 	"fmt"
