--- a/cmd/lilalab/sockets.go
+++ b/cmd/lilalab/sockets.go
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
+	"lilacglade/internal/baselines"
 	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/sockets"
 	"lilacglade/internal/lab/virtual"
 	"lilacglade/internal/settings"
-	"lilacglade/internal/textbook"
 	"lilacglade/internal/transport"
 )
 
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			decider, err := textbook.New(policy, node.Settings.Settings, node.Seed)
+			decider, err := baselines.New(policy, node.Settings.Settings, node.Seed)
 			if err != nil {
 				return err
 			}
--- a/internal/textbook/textbook.go
+++ b/internal/baselines/baselines.go
@@ -1,9 +1,9 @@
-// Package textbook holds the policies that a proxy's decision module is measured against: random,
+// Package baselines holds the policies that a proxy's decision module is measured against: random,
 // round robin, least in flight and power of two choices, as the textbooks have them. They keep the
 // house's rules (nothing to a server that drains, nothing that may have run is repeated unless that
 // does no harm, refusals only where nothing may have run), so that they differ from the module in
 // what they choose and not in what they dare. Like it they do no I/O and have no clock.
-package textbook
+package baselines
 
 import (
 	"cmp"
--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -128,7 +128,7 @@
 
 // testOnly are the packages that are in no release build.
 var testOnly = map[string]bool{"faulttest": true, "soak": true, "faultlayer": true, "lab": true,
-	"emulator": true, "maintenancesim": true, "textbook": true, "checks": true}
+	"emulator": true, "maintenancesim": true, "baselines": true, "checks": true}
 
 // check reads the Go files below root and returns what is wrong with them.
 func check(root string) ([]string, error) {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -7,18 +7,18 @@
 	"time"
 
 	lg "lilacglade"
+	"lilacglade/internal/baselines"
 	"lilacglade/internal/emulator"
 	"lilacglade/internal/pool"
 	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
-	"lilacglade/internal/textbook"
 )
 
 // Module is the name of the decision module among the policies.
 const Module = "module"
 
 // Policies lists what a proxy can decide by.
-func Policies() []string { return append([]string{Module}, textbook.Names...) }
+func Policies() []string { return append([]string{Module}, baselines.Names...) }
 
 // Options are what a run may have beyond its scenario.
 type Options struct {
@@ -170,7 +170,7 @@
 	case s.opt.Policy == Module:
 		d, err = lg.New(set, seed)
 	default:
-		d, err = textbook.New(s.opt.Policy, set, seed)
+		d, err = baselines.New(s.opt.Policy, set, seed)
 	}
 	if err != nil || s.opt.Follow == 0 {
 		return d, err
