--- a/internal/council/council.go
+++ b/internal/coordination/coordination.go
@@ -1,16 +1,17 @@
-// Package council is one proxy's part among the proxies that talk to each other: the lease without which it
-// begins nothing at machines that may be out for work, its part in the log that a few of them agree on, and
-// operators' calls. It is pure: State, absolute time and event in, effects out, to be done in their order.
-package council
+// Package coordination is one proxy's part among the proxies that talk to each other: the lease without which
+// it begins nothing at machines that may be out for work, its part in the log that a few of them agree on,
+// and operators' calls. It is pure: State, absolute time and event in, effects out, to be done in their
+// order.
+package coordination
 
 import (
 	"cmp"
 	"math/rand/v2"
 	"time"
 
-	"lilacglade/internal/agree"
-	"lilacglade/internal/members"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/consensus"
+	"lilacglade/internal/maintenance"
+	"lilacglade/internal/membership"
 )
 
 // TickEvery is the time between two Ticks.
@@ -29,12 +30,13 @@
 	ReplaceAfter time.Duration
 	WarmAfter    time.Duration // a machine that came back is done then
 	AloneAfter   time.Duration // without a lease the proxy serves after this, against the promise; 0: never
-	Level        uint64        // what this program understands; 0: workorder.LevelNow. For plays of two versions
+	// what this program understands; 0: maintenance.LevelNow. For plays of two versions
+	Level uint64
 
 	Without Guard // taken out; for plays that show what it guards against
 
 	ID, Boot uint64 // of the disk
-	Saved    agree.Saved
+	Saved    consensus.Saved
 	Note     []byte
 }
 
@@ -61,8 +63,8 @@
 	now     time.Duration
 	out     []Effect
 	local   [][]byte // messages to itself
-	table   *members.Table
-	core    *agree.Core // nil while there is no disk
+	table   *membership.Table
+	core    *consensus.Core // nil while there is no disk
 	rep     *replica
 	cluster uint64
 	held    bool // a voter that has started may not vote yet
@@ -76,7 +78,7 @@
 	party  party
 	lead   lead
 	calls  map[string]*pending
-	seen   map[string]workorder.Seen // the machines as discovery lists them
+	seen   map[string]maintenance.Seen // the machines as discovery lists them
 	seenAt time.Duration
 
 	Foreign uint64 // messages that were not understood, or not for this one
@@ -84,16 +86,17 @@
 
 // New returns a Council.
 func New(cfg Config) (*Council, error) {
-	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)), table: members.New(cfg.ReplaceAfter),
-		blank: map[string]time.Duration{}, calls: map[string]*pending{}, agreed: map[string]bool{}}
+	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)),
+		table: membership.New(cfg.ReplaceAfter), blank: map[string]time.Duration{},
+		calls: map[string]*pending{}, agreed: map[string]bool{}}
 	c.party = party{sentAt: map[uint64]time.Duration{}, every: joinEvery}
-	c.cfg.Level = cmp.Or(cfg.Level, workorder.LevelNow)
+	c.cfg.Level = cmp.Or(cfg.Level, maintenance.LevelNow)
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
 		return c, err
 	}
 	var n Note
-	if len(cfg.Note) > 0 && workorder.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
-		c.cfg.Level >= workorder.LevelResume {
+	if len(cfg.Note) > 0 && maintenance.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
+		c.cfg.Level >= maintenance.LevelResume {
 		c.resume, c.from = &n, n.Index
 	}
 	return c, nil
@@ -152,10 +155,10 @@
 }
 
 // Work is the state that this proxy holds of the log; it lags behind the leader's. Nobody changes it.
-func (c *Council) Work() *workorder.State { return c.rep.Work }
+func (c *Council) Work() *maintenance.State { return c.rep.Work }
 
 // Leads tells whether this proxy leads, as far as it knows.
 func (c *Council) Leads() bool { return c.leads() }
 
 // Table is whom this proxy has heard.
-func (c *Council) Table() *members.Table { return c.table }
+func (c *Council) Table() *membership.Table { return c.table }
--- a/internal/council/effects.go
+++ b/internal/coordination/effects.go
@@ -1,10 +1,10 @@
-package council
+package coordination
 
 import (
 	"time"
 
-	"lilacglade/internal/agree"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/consensus"
+	"lilacglade/internal/maintenance"
 )
 
 // Effect is something to do: a Persist, Keep, Send, Facts, Reply, Retire, Left or Log. If a Persist or Keep
@@ -13,7 +13,7 @@
 
 type (
 	// Persist is to be on the disk, synced, before what comes behind it is done.
-	Persist struct{ Write *agree.Write }
+	Persist struct{ Write *consensus.Write }
 	// Keep is the same for the note.
 	Keep struct{ Note []byte }
 	// Send has a message sent to a peer; it may be lost. Addr is where it listens, "" if only the name is known.
@@ -24,9 +24,9 @@
 	// Facts tells the reducer what holds now.
 	Facts struct {
 		Index  uint64
-		Marked []workorder.Mark // nothing new there
-		Named  []string         // nothing new there from Until on, and nothing at all Grace later
-		Until  time.Duration    // on the clock of now; 0: no lease yet, nothing new anywhere
+		Marked []maintenance.Mark // nothing new there
+		Named  []string           // nothing new there from Until on, and nothing at all Grace later
+		Until  time.Duration      // on the clock of now; 0: no lease yet, nothing new anywhere
 		Grace  time.Duration
 	}
 	// Reply ends an Asked.
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -16,10 +16,10 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/agree"
-	"lilacglade/internal/council"
-	"lilacglade/internal/holds"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/consensus"
+	"lilacglade/internal/coordination"
+	"lilacglade/internal/fencing"
+	"lilacglade/internal/maintenance"
 )
 
 // Times of the driver.
@@ -38,11 +38,11 @@
 	name    string
 	id      func(string) lg.ServerID
 	now     func() time.Duration
-	facts   func(f holds.Facts[lg.ServerID], own uint64)
+	facts   func(f fencing.Facts[lg.ServerID], own uint64)
 	ln      net.Listener
-	disk    *agree.Disk
-	council *council.Council
-	events  chan council.Event
+	disk    *consensus.Disk
+	council *coordination.Council
+	events  chan coordination.Event
 	done    chan struct{}
 	ended   sync.WaitGroup
 	links   map[string]*link
@@ -55,7 +55,7 @@
 
 	mu     sync.Mutex
 	names  map[lg.ServerID]string // of the machines named now
-	waits  map[uint64]chan council.Answer
+	waits  map[uint64]chan coordination.Answer
 	token  uint64
 	conns  map[net.Conn]bool
 	closed bool
@@ -71,12 +71,12 @@
 	ID        func(instance string) lg.ServerID // the number of a machine
 	// Facts gets what holds, from the node's own goroutine. Own is the grant by which this proxy's own machine
 	// is to go out; 0: it isn't.
-	Facts func(f holds.Facts[lg.ServerID], own uint64)
+	Facts func(f fencing.Facts[lg.ServerID], own uint64)
 }
 
 // Start opens the disk and the socket and takes part from then on.
 func Start(cfg Config, o Options) (*Node, error) {
-	disk, err := agree.OpenDisk(cfg.Dir)
+	disk, err := consensus.OpenDisk(cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("peers: dir: %w", err)
 	}
@@ -87,8 +87,8 @@
 		return nil, fmt.Errorf("peers: listen: %w", err)
 	}
 	n := &Node{cfg: cfg, name: o.Name, id: o.ID, now: o.Now, facts: o.Facts, ln: ln, disk: disk,
-		events: make(chan council.Event, maxEvents), done: make(chan struct{}), links: map[string]*link{},
-		left: make(chan struct{}), names: map[lg.ServerID]string{}, waits: map[uint64]chan council.Answer{},
+		events: make(chan coordination.Event, maxEvents), done: make(chan struct{}), links: map[string]*link{},
+		left: make(chan struct{}), names: map[lg.ServerID]string{}, waits: map[uint64]chan coordination.Answer{},
 		conns: map[net.Conn]bool{}}
 	var names []string
 	for peer := range cfg.Peers {
@@ -97,11 +97,11 @@
 		}
 	}
 	slices.Sort(names)
-	n.council, err = council.New(council.Config{Name: o.Name, Inc: rand.Uint64() | 1, Addr: cfg.Advertise,
-		Founders: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed, ReplaceAfter: cfg.ReplaceAfter,
-		WarmAfter: o.WarmAfter, Level: rigLevel(), AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot,
-		Saved: disk.Saved, Note: disk.Note})
-	if errors.Is(err, council.ErrLater) {
+	n.council, err = coordination.New(coordination.Config{Name: o.Name, Inc: rand.Uint64() | 1,
+		Addr: cfg.Advertise, Founders: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed,
+		ReplaceAfter: cfg.ReplaceAfter, WarmAfter: o.WarmAfter, Level: rigLevel(),
+		AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot, Saved: disk.Saved, Note: disk.Note})
+	if errors.Is(err, coordination.ErrLater) {
 		_, _ = disk.Close(), ln.Close()
 		return nil, fmt.Errorf("peers: dir: %w", err)
 	}
@@ -124,14 +124,14 @@
 // run owns the council.
 func (n *Node) run() {
 	defer n.ended.Done()
-	tick := time.NewTicker(council.TickEvery)
+	tick := time.NewTicker(coordination.TickEvery)
 	defer tick.Stop()
 	for {
 		select {
 		case ev := <-n.events:
 			n.step(ev)
 		case <-tick.C:
-			n.step(council.Tick{})
+			n.step(coordination.Tick{})
 		case <-n.done:
 			if n.disk != nil {
 				_ = n.disk.Close()
@@ -142,7 +142,7 @@
 }
 
 // post hands an event over; when the council is far behind, it is lost, as on a network.
-func (n *Node) post(ev council.Event) {
+func (n *Node) post(ev coordination.Event) {
 	select {
 	case n.events <- ev:
 	default:
@@ -151,15 +151,15 @@
 
 // step gives the council an event and does what it wants. Guards against the library giving up the whole
 // program where a state can't be: the disk is set aside, and this proxy goes on under a new identity.
-func (n *Node) step(ev council.Event) {
+func (n *Node) step(ev coordination.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			log.Printf("peers: the log can't be gone on with: %v\n%s", r, debug.Stack())
 			n.renew(fmt.Sprint(r))
 		}
 	}()
-	if _, lost := ev.(council.DiskLost); n.disk == nil && !lost {
-		if _, back := ev.(council.DiskBack); !back {
+	if _, lost := ev.(coordination.DiskLost); n.disk == nil && !lost {
+		if _, back := ev.(coordination.DiskBack); !back {
 			n.reopen()
 		}
 	}
@@ -168,7 +168,7 @@
 			log.Printf("peers: the disk: %v", err)
 			_ = n.disk.Close()
 			n.disk, n.retryAt = nil, time.Now().Add(retryDisk)
-			n.step(council.DiskLost{})
+			n.step(coordination.DiskLost{})
 			return
 		}
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	n.retryAt = time.Now().Add(retryDisk)
-	disk, err := agree.ReopenDisk(n.cfg.Dir)
+	disk, err := consensus.ReopenDisk(n.cfg.Dir)
 	if err != nil {
 		return
 	}
@@ -190,8 +190,8 @@
 	n.step(back(disk))
 }
 
-func back(d *agree.Disk) council.DiskBack {
-	return council.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
+func back(d *consensus.Disk) coordination.DiskBack {
+	return coordination.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
 }
 
 // renew sets the disk aside and goes on under a new identity.
@@ -204,47 +204,47 @@
 	if n.disk = disk; err != nil {
 		n.disk = nil
 		log.Printf("peers: the disk: %v", err)
-		n.step(council.DiskLost{})
+		n.step(coordination.DiskLost{})
 		return
 	}
 	n.step(back(disk))
 }
 
-func (n *Node) effect(e council.Effect) error {
+func (n *Node) effect(e coordination.Effect) error {
 	switch e := e.(type) {
-	case council.Persist:
+	case coordination.Persist:
 		if n.disk == nil {
 			return nil // the council has no log then
 		}
 		return n.disk.Write(e.Write)
-	case council.Keep:
+	case coordination.Keep:
 		if n.disk == nil {
 			return nil
 		}
 		return n.disk.Keep(e.Note)
-	case council.Send:
+	case coordination.Send:
 		n.send(e)
-	case council.Facts:
+	case coordination.Facts:
 		n.tell(e)
-	case council.Reply:
+	case coordination.Reply:
 		n.mu.Lock()
 		if c := n.waits[e.Token]; c != nil {
 			delete(n.waits, e.Token)
 			c <- e.Answer
 		}
 		n.mu.Unlock()
-	case council.Retire:
+	case coordination.Retire:
 		n.renew(e.Why)
-	case council.Left:
+	case coordination.Left:
 		close(n.left)
-	case council.Log:
+	case coordination.Log:
 		log.Print("peers: " + e.Text)
 	}
 	return nil
 }
 
 // send has a message sent. An address of the configuration goes before what the peer says itself.
-func (n *Node) send(e council.Send) {
+func (n *Node) send(e coordination.Send) {
 	addr := n.cfg.Peers[e.To]
 	if addr == "" {
 		addr = e.Addr
@@ -268,23 +268,23 @@
 }
 
 // tell hands the facts to the reducer, by the machines' numbers.
-func (n *Node) tell(e council.Facts) {
-	f := holds.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
+func (n *Node) tell(e coordination.Facts) {
+	f := fencing.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
 	names := map[lg.ServerID]string{}
 	own := uint64(0)
 	for _, m := range e.Marked {
-		if m.Machine == workorder.ProxyID(n.name) {
+		if m.Machine == maintenance.ProxyID(n.name) {
 			own = m.Grant
 		}
-		if workorder.IsProxy(m.Machine) {
+		if maintenance.IsProxy(m.Machine) {
 			continue // nobody sends there from here
 		}
 		id := n.id(m.Machine)
 		names[id] = m.Machine
-		f.Marked = append(f.Marked, holds.Mark[lg.ServerID]{Machine: id, Grant: m.Grant})
+		f.Marked = append(f.Marked, fencing.Mark[lg.ServerID]{Machine: id, Grant: m.Grant})
 	}
 	for _, m := range e.Named {
-		if !workorder.IsProxy(m) {
+		if !maintenance.IsProxy(m) {
 			f.Named = append(f.Named, n.id(m))
 		}
 	}
@@ -296,15 +296,15 @@
 
 // Stopped takes what the reducer says.
 // Own is the grant by which this proxy's own machine goes out and nothing is open here any more; 0: it isn't.
-func (n *Node) Stopped(index uint64, clear []holds.Mark[lg.ServerID], own uint64) {
-	ev := council.Stopped{Index: index}
+func (n *Node) Stopped(index uint64, clear []fencing.Mark[lg.ServerID], own uint64) {
+	ev := coordination.Stopped{Index: index}
 	if own > 0 {
-		ev.Clear = append(ev.Clear, workorder.Mark{Machine: workorder.ProxyID(n.name), Grant: own})
+		ev.Clear = append(ev.Clear, maintenance.Mark{Machine: maintenance.ProxyID(n.name), Grant: own})
 	}
 	n.mu.Lock()
 	for _, m := range clear {
 		if name, ok := n.names[m.Machine]; ok {
-			ev.Clear = append(ev.Clear, workorder.Mark{Machine: name, Grant: m.Grant})
+			ev.Clear = append(ev.Clear, maintenance.Mark{Machine: name, Grant: m.Grant})
 		}
 	}
 	n.mu.Unlock()
@@ -312,7 +312,7 @@
 }
 
 // must hands over an event that must not be lost.
-func (n *Node) must(ev council.Event) {
+func (n *Node) must(ev coordination.Event) {
 	select {
 	case n.events <- ev:
 	default:
@@ -326,10 +326,10 @@
 }
 
 // Inventory takes the machines as discovery lists them.
-func (n *Node) Inventory(all []workorder.Seen) { n.post(council.Inventory{Machines: all}) }
+func (n *Node) Inventory(all []maintenance.Seen) { n.post(coordination.Inventory{Machines: all}) }
 
 // Load takes what the proxy has handled and refused since the last call, and what it measured.
-func (n *Node) Load(l council.Load) { n.post(l) }
+func (n *Node) Load(l coordination.Load) { n.post(l) }
 
 // accept takes peers' connections.
 func (n *Node) accept() {
@@ -356,7 +356,7 @@
 		go func() {
 			err := take(conn, func(raw []byte) {
 				n.heard.Add(uint64(len(raw)))
-				n.post(council.Received{Raw: raw})
+				n.post(coordination.Received{Raw: raw})
 			})
 			if other := net.Error(nil); err != nil && !errors.As(err, &other) && !errors.Is(err, net.ErrClosed) {
 				n.garbled.Add(1)
@@ -370,14 +370,14 @@
 }
 
 // Ask makes an operators' call and waits for what came of it.
-func (n *Node) Ask(call council.Call) council.Answer {
-	c := make(chan council.Answer, 1)
+func (n *Node) Ask(call coordination.Call) coordination.Answer {
+	c := make(chan coordination.Answer, 1)
 	n.mu.Lock()
 	n.token++
 	token := n.token
 	n.waits[token] = c
 	n.mu.Unlock()
-	n.post(council.Asked{Token: token, Call: call})
+	n.post(coordination.Asked{Token: token, Call: call})
 	timer := time.NewTimer(answerFor)
 	defer timer.Stop()
 	select {
@@ -389,26 +389,27 @@
 	n.mu.Lock()
 	delete(n.waits, token)
 	n.mu.Unlock()
-	return council.Answer{ID: call.ID, Err: "no answer; the call may still be carried out: ask again with the " +
-		"same id"}
+	return coordination.Answer{ID: call.ID,
+		Err: "no answer; the call may still be carried out: ask again with the " +
+			"same id"}
 }
 
 // Action is an operators' call as it comes in on the admin socket.
 type Action struct {
-	ID    string          `json:"id"`
-	Do    string          `json:"do"`
-	Name  string          `json:"name,omitempty"` // of an order, a machine or a proxy
-	Why   string          `json:"why,omitempty"`
-	Order *workorder.Spec `json:"order,omitempty"`
+	ID    string            `json:"id"`
+	Do    string            `json:"do"`
+	Name  string            `json:"name,omitempty"` // of an order, a machine or a proxy
+	Why   string            `json:"why,omitempty"`
+	Order *maintenance.Spec `json:"order,omitempty"`
 }
 
 // does says which entry each word stands for, and whether it names a machine.
 var does = map[string]struct {
-	kind    workorder.Kind
+	kind    maintenance.Kind
 	machine bool
-}{"pause": {workorder.Pause, false}, "resume": {workorder.Resume, false}, "cancel": {workorder.Cancel, false},
-	"forget": {workorder.Forget, false}, "out": {workorder.SetOut, true}, "back": {workorder.Return, true},
-	"fail": {workorder.Fail, true}}
+}{"pause": {maintenance.Pause, false}, "resume": {maintenance.Resume, false},
+	"cancel": {maintenance.Cancel, false}, "forget": {maintenance.Forget, false},
+	"out": {maintenance.SetOut, true}, "back": {maintenance.Return, true}, "fail": {maintenance.Fail, true}}
 
 // Work answers an operators' call: what follows the word WORK, STATUS or an Action.
 func (n *Node) Work(line string) []byte {
@@ -422,7 +423,7 @@
 	if err := d.Decode(&a); err != nil {
 		return fmt.Appendf(nil, "-ERR not a call: %v\n", err)
 	}
-	call := council.Call{ID: a.ID}
+	call := coordination.Call{ID: a.ID}
 	switch w, ok := does[a.Do]; {
 	case a.ID == "" || len(a.ID) > 128:
 		return []byte("-ERR id: not set, or over 128 bytes\n")
@@ -436,9 +437,9 @@
 	case ok && a.Name == "":
 		return []byte("-ERR name: not set\n")
 	case ok && w.machine:
-		call.Command = &workorder.Command{Kind: w.kind, Machine: a.Name, Why: a.Why}
+		call.Command = &maintenance.Command{Kind: w.kind, Machine: a.Name, Why: a.Why}
 	case ok:
-		call.Command = &workorder.Command{Kind: w.kind, Name: a.Name}
+		call.Command = &maintenance.Command{Kind: w.kind, Name: a.Name}
 	default:
 		return fmt.Appendf(nil, "-ERR do: %q is unknown\n", a.Do)
 	}
@@ -458,7 +459,7 @@
 
 // Leave says that this proxy has ended all it had open, and ends.
 func (n *Node) Leave() {
-	n.must(council.Leaving{})
+	n.must(coordination.Leaving{})
 	select {
 	case <-n.left:
 	case <-time.After(leaveFor): // it is found out by its lease
--- a/internal/legs/work.go
+++ b/internal/transport/work.go
@@ -1,4 +1,4 @@
-package legs
+package transport
 
 import (
 	"errors"
@@ -6,13 +6,13 @@
 	"time"
 
 	lg "lilacglade"
-	"lilacglade/internal/council"
-	"lilacglade/internal/holds"
+	"lilacglade/internal/coordination"
+	"lilacglade/internal/fencing"
+	"lilacglade/internal/maintenance"
 	"lilacglade/internal/peers"
-	"lilacglade/internal/proxystate"
+	"lilacglade/internal/reducer"
 	"lilacglade/internal/serverlist"
 	"lilacglade/internal/settings"
-	"lilacglade/internal/workorder"
 )
 
 // loads is what the other proxies were told of this one's load.
@@ -29,7 +29,7 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.set.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(f holds.Facts[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
+		Facts: func(f fencing.Facts[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
 	return err
 }
 
@@ -43,7 +43,7 @@
 // late is asked just before a request is written. Guards against a process that was held up there: the time
 // for the attempt may be over, or the machine out by now, so nothing is written, and said is posted; or it
 // is to be decided anew.
-func (p *proxy) late(e proxystate.Effect, said written) func() bool {
+func (p *proxy) late(e reducer.Effect, said written) func() bool {
 	decided := p.now()
 	return func() bool {
 		now := p.now()
@@ -61,7 +61,7 @@
 }
 
 // published shows the figures to operators, and what follows from them to the other proxies.
-func (p *proxy) published(f *proxystate.Figures) {
+func (p *proxy) published(f *reducer.Figures) {
 	if p.door != nil {
 		p.door.Show(f)
 	}
@@ -73,7 +73,7 @@
 		now.handled += h.Passed + h.Dropped + h.BadGateway
 		now.refused += h.Dropped
 	}
-	l := council.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
+	l := coordination.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
 	for _, r := range f.Rooms {
 		l.Busy += float64(r.Out)
 		name, ok := now.names[r.Server]
@@ -81,7 +81,7 @@
 			l.Avoids = append(l.Avoids, name)
 		}
 		if ok {
-			l.Rooms = append(l.Rooms, council.Room{Machine: name, Most: r.Most})
+			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.Most})
 		}
 	}
 	for _, id := range f.Hot {
@@ -98,11 +98,11 @@
 	if p.peers == nil {
 		return
 	}
-	var all []workorder.Seen
+	var all []maintenance.Seen
 	p.loads.names = map[lg.ServerID]string{}
 	for _, in := range p.servers.Instances() {
 		p.loads.names[serverlist.ID(in.Name)] = in.Name
-		all = append(all, workorder.Seen{Ready: in.State == lg.Ready, Machine: workorder.Machine{ID: in.Name,
+		all = append(all, maintenance.Seen{Ready: in.State == lg.Ready, Machine: maintenance.Machine{ID: in.Name,
 			Zone: in.Zone, Kind: in.Kind, Weight: in.Weight, Started: in.Started}})
 	}
 	p.peers.Inventory(slices.Clip(all))
