--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -37,7 +37,7 @@
 	// Work answers what follows the word WORK in a call; nil: there is no such call. It may wait for other
 	// proxies, so it is owed within some seconds only. It is set before Listen.
 	Work    func(call string) []byte
-	figures atomic.Pointer[reducer.Figures]
+	figures atomic.Pointer[reducer.Metrics]
 
 	mu    sync.Mutex
 	conns []*guest // oldest first
@@ -52,7 +52,7 @@
 }
 
 // Show has the figures shown from now on. They must not change any more.
-func (d *Door) Show(f *reducer.Figures) { d.figures.Store(f) }
+func (d *Door) Show(f *reducer.Metrics) { d.figures.Store(f) }
 
 type guestKey struct{}
 
@@ -179,7 +179,7 @@
 }
 
 // Answer words the answer to a call.
-func Answer(call string, f *reducer.Figures) []byte {
+func Answer(call string, f *reducer.Metrics) []byte {
 	switch {
 	case call != "HEALTH" && call != "DUMP":
 		return []byte("-ERR unknown call; known are HEALTH and DUMP\n")
@@ -197,7 +197,7 @@
 const prefix = "node_"
 
 // Dump words the figures, a line each.
-func Dump(f *reducer.Figures) []byte {
+func Dump(f *reducer.Metrics) []byte {
 	var out []byte
 	line := func(name string, n uint64) {
 		out = append(out, prefix...)
@@ -214,9 +214,9 @@
 		}
 	}
 	line("in_progress", uint64(max(0, f.InProgress)))
-	line("upstream_tries", f.Tries)
-	line("known_album_servers", uint64(f.Known))
-	line("skipped_album_servers", uint64(f.Skipped))
+	line("upstream_tries", f.RequestsWritten)
+	line("known_album_servers", uint64(f.KnownServers))
+	line("skipped_album_servers", uint64(f.SkippedServers))
 	line("loads", f.Loads)
 	line("load_errors", f.LoadErrors)
 	for result, n := range f.Attempts {
@@ -230,21 +230,21 @@
 			line("violations{rule="+strconv.Quote(rule.String())+"}", n)
 		}
 	}
-	line("list_heard", asNumber(f.List.Heard))
-	line("list_unheard_ms", millis(f.List.Unheard))
-	line("list_longest_pause_ms", millis(f.List.LongestUnsent))
-	line("list_calls_failed_in_a_row", uint64(max(0, f.List.Failed)))
-	line("list_outdated_attempts", f.List.Outdated)
-	line("list_expired", f.List.Lapses)
-	line("list_withheld_attempts", f.List.Withheld)
+	line("list_heard", asNumber(f.List.Received))
+	line("list_unheard_ms", millis(f.List.SinceAnswer))
+	line("list_longest_pause_ms", millis(f.List.LongestPause))
+	line("list_calls_failed_in_a_row", uint64(max(0, f.List.FailedCalls)))
+	line("list_outdated_attempts", f.List.OutdatedAttempts)
+	line("list_expired", f.List.LeaseExpirations)
+	line("list_withheld_attempts", f.List.WithheldAttempts)
 	line("discovery_calls{outcome=\"answered\"}", f.Sockets.CallsAnswered)
 	line("discovery_calls{outcome=\"failed\"}", f.Sockets.CallsFailed)
-	line("answers_unwritten", f.Sockets.Unwritten)
+	line("answers_unwritten", f.Sockets.UnwrittenAnswers)
 	line("clock_steps", f.Sockets.ClockSteps)
 	line("reducer_slow_events", f.Sockets.SlowEvents)
 	line("reducer_longest_event_us", micros(f.Sockets.LongestEvent))
 	line("reducer_longest_queued_us", micros(f.Sockets.LongestQueued))
-	line("reducer_longest_list_us", micros(f.Sockets.LongestList))
+	line("reducer_longest_list_us", micros(f.Sockets.LongestListUpdate))
 	return out
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,15 +11,15 @@
 
 // TestWireNames holds the names and forms that operators' tools read.
 func TestWireNames(t *testing.T) {
-	f := &reducer.Figures{Ready: true, InProgress: 14, Tries: 5, Known: 12, Skipped: 2,
+	f := &reducer.Metrics{Ready: true, InProgress: 14, RequestsWritten: 5, KnownServers: 12, SkippedServers: 2,
 		Loads: 3, LoadErrors: 1, Attempts: [9]uint64{811, 1}, Closes: [6]uint64{9, 8, 7, 6, 5, 4},
-		Sockets: reducer.SocketFigures{CallsAnswered: 31, CallsFailed: 2, Unwritten: 1, ClockSteps: 3,
+		Sockets: reducer.SocketMetrics{CallsAnswered: 31, CallsFailed: 2, UnwrittenAnswers: 1, ClockSteps: 3,
 			SlowEvents: 4, LongestEvent: 72 * time.Millisecond, LongestQueued: 1500,
-			LongestList: 71 * time.Millisecond},
-		List: reducer.ListFigures{Heard: true, Unheard: 7 * time.Second, LongestUnsent: 2 * time.Second,
-			Failed: 3, Outdated: 6, Lapses: 4, Withheld: 8},
+			LongestListUpdate: 71 * time.Millisecond},
+		List: reducer.ListMetrics{Received: true, SinceAnswer: 7 * time.Second, LongestPause: 2 * time.Second,
+			FailedCalls: 3, OutdatedAttempts: 6, LeaseExpirations: 4, WithheldAttempts: 8},
 		Violations: sendguard.Counts{sendguard.Drained: 2},
-		Handled:    []reducer.Handled{{Class: `a"b`, Passed: 812, Dropped: 7, BadGateway: 1}}}
+		Handled:    []reducer.RequestCounts{{Class: `a"b`, Passed: 812, Dropped: 7, BadGateway: 1}}}
 	want := `+OK
 node_handled{category="a\"b",outcome="passed"} 812
 node_handled{category="a\"b",outcome="dropped"} 7
@@ -76,10 +76,10 @@
 }
 
 func TestAnswers(t *testing.T) {
-	ready, not := &reducer.Figures{Ready: true}, &reducer.Figures{}
+	ready, not := &reducer.Metrics{Ready: true}, &reducer.Metrics{}
 	for _, tc := range []struct {
 		call string
-		f    *reducer.Figures
+		f    *reducer.Metrics
 		want string
 	}{
 		{"HEALTH", ready, "+OK"}, {"HEALTH", not, "-ERR"}, {"HEALTH", nil, "-ERR"}, {"DUMP", nil, "-ERR"},
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -59,17 +59,17 @@
 		r.longest = max(r.longest, time.Since(began))
 		for _, e := range effects {
 			switch e.Do {
-			case reducer.Arm:
+			case reducer.ArmTimer:
 				r.armed = e.At
 			case reducer.Dial:
-				r.queue = append(r.queue, reducer.HopDialed{Leg: e.Leg, OK: true})
+				r.queue = append(r.queue, reducer.ServerDialed{Conn: e.Conn, OK: true})
 			case reducer.Forward:
-				load := lg.LoadReport{N: 2, Values: [4]float64{float64(2 + e.Leg%5), 20}}
-				r.queue = append(r.queue, reducer.HopWritten{Leg: e.Leg, OK: true},
-					reducer.HopAnswered{Leg: e.Leg, Result: lg.OK, Load: load, Keep: true})
-			case reducer.AnswerCaller:
+				load := lg.LoadReport{N: 2, Values: [4]float64{float64(2 + e.Conn%5), 20}}
+				r.queue = append(r.queue, reducer.RequestWritten{Conn: e.Conn, OK: true},
+					reducer.ServerAnswered{Conn: e.Conn, Result: lg.OK, Load: load, Reusable: true})
+			case reducer.AnswerClient:
 				r.answers++
-				r.queue = append(r.queue, reducer.CallerWritten{Leg: e.Leg, OK: true})
+				r.queue = append(r.queue, reducer.ResponseWritten{Conn: e.Conn, OK: true})
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	for r.armed > 0 && r.armed <= at {
 		r.now = max(r.now, r.armed)
 		r.armed = 0
-		r.step(reducer.Woken{})
+		r.step(reducer.TimerFired{})
 	}
 	r.now = at
 }
@@ -107,8 +107,8 @@
 	}
 	decider := &timed{Decider: module}
 	r := &rig{now: 24 * time.Hour}
-	r.state, err = reducer.New(reducer.Config{Settings: set, Seed: 1, MaxCallers: 600,
-		MaxHops: max(400, 2*servers), IdleHops: 15 * time.Second, Decider: decider})
+	r.state, err = reducer.New(reducer.Config{Settings: set, Seed: 1, MaxClients: 600,
+		MaxServerConns: max(400, 2*servers), ServerIdleTimeout: 15 * time.Second, Decider: decider})
 	if err != nil {
 		return c, err
 	}
@@ -117,18 +117,18 @@
 	runtime.ReadMemStats(&before)
 	list := costServers(servers, 0)
 	began := time.Now()
-	r.step(reducer.ListTold{List: lg.List{Kind: lg.FullList, Servers: list}})
+	r.step(reducer.ListReceived{List: lg.List{Kind: lg.FullList, Servers: list}})
 	c.FullList = time.Since(began)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	c.MemoryServer = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(servers)
 	const legs = 50
 	for i := range legs {
-		r.step(reducer.CallerOpened{Leg: reducer.LegID(i + 1)})
+		r.step(reducer.ClientOpened{Conn: reducer.ConnID(i + 1)})
 	}
 	ask := func(i int) {
 		r.until(r.now + 2*time.Millisecond)
-		r.step(reducer.CallerAsked{Leg: reducer.LegID(i%legs + 1), Name: fmt.Sprint("r", i), Class: i % 2,
+		r.step(reducer.RequestReceived{Conn: reducer.ConnID(i%legs + 1), Name: fmt.Sprint("r", i), Class: i % 2,
 			Key: uint64(i%997) * 0x9e3779b97f4a7c15, HasKey: true, Deadline: r.now + time.Second})
 	}
 	warm := max(1000, servers)
@@ -156,7 +156,7 @@
 	for i := range changes {
 		one := list[i%servers]
 		one.State = lg.Draining
-		r.step(reducer.ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{one}}})
+		r.step(reducer.ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{one}}})
 	}
 	c.OneChange = time.Since(began) / changes
 	return c, nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -135,7 +135,7 @@
 			return forgetful{b}, err
 		}
 		o.Tamper = func(_ int, e reducer.Effect) []reducer.Effect {
-			if e.Do == reducer.AnswerCaller && e.Verdict == reducer.Busy {
+			if e.Do == reducer.AnswerClient && e.Verdict == reducer.Rejected {
 				return nil // the reducer answers at the deadline; without that the request is lost
 			}
 			return []reducer.Effect{e}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -131,10 +131,10 @@
 	life      int // counts its processes
 	state     *reducer.State
 	busy      time.Duration // its processor is, until then
-	armed     int           // counts what Arm asked for; older ones do nothing
-	callers   map[reducer.LegID]*callerLeg
-	hops      map[reducer.LegID]*hopLeg
-	last      reducer.LegID
+	armed     int           // counts what ArmTimer asked for; older ones do nothing
+	callers   map[reducer.ConnID]*callerLeg
+	hops      map[reducer.ConnID]*hopLeg
+	last      reducer.ConnID
 	addresses map[lg.ServerID]int
 	version   uint64
 	watch     *emulator.Lookup
@@ -145,14 +145,14 @@
 }
 
 type callerLeg struct {
-	id   reducer.LegID
+	id   reducer.ConnID
 	leg  *emulator.Leg
 	ask  *emulator.Ask
 	part bool
 }
 
 type hopLeg struct {
-	id     reducer.LegID
+	id     reducer.ConnID
 	server lg.ServerID
 	hop    *emulator.Hop
 	open   bool // it has come up
@@ -196,19 +196,19 @@
 	}
 	callers, hops := budget(s.sc.Proxies.Sockets)
 	n.address = s.world.DiscoveryAddress()
-	n.state, err = reducer.New(reducer.Config{Settings: set, Seed: seed, MaxCallers: callers,
-		Unguarded: s.opt.Unguarded,
-		MaxHops:   hops,
-		IdleHops:  s.sc.Servers.KeepAlive / 4, Discovery: n.address, Decider: d, Pool: Pools[s.opt.Pool]})
+	n.state, err = reducer.New(reducer.Config{Settings: set, Seed: seed, MaxClients: callers,
+		SkipSendChecks:    s.opt.Unguarded,
+		MaxServerConns:    hops,
+		ServerIdleTimeout: s.sc.Servers.KeepAlive / 4, Discovery: n.address, Decider: d, Pool: Pools[s.opt.Pool]})
 	if err != nil {
 		return err
 	}
-	n.callers, n.hops = map[reducer.LegID]*callerLeg{}, map[reducer.LegID]*hopLeg{}
+	n.callers, n.hops = map[reducer.ConnID]*callerLeg{}, map[reducer.ConnID]*hopLeg{}
 	n.addresses, n.version, n.stopping, n.busy = map[lg.ServerID]int{}, 0, false, 0
 	n.ids = map[lg.RequestID]bool{}
 	list := n.list(s.world.Known(i))
 	list.Kind = lg.CachedList
-	n.post(reducer.ListTold{List: list})
+	n.post(reducer.ListReceived{List: list})
 	s.world.ProxyReady(i)
 	return nil
 }
@@ -234,7 +234,8 @@
 	if n.sim.opt.Deafen != nil && n.sim.opt.Deafen(n.id, ev) {
 		return
 	}
-	if q, ok := ev.(reducer.CallerQuiet); ok && (n.callers[q.Leg] == nil || n.callers[q.Leg].ask != nil) {
+	if q, ok := ev.(reducer.ClientIdleConfirmed); ok &&
+		(n.callers[q.Conn] == nil || n.callers[q.Conn].ask != nil) {
 		return // something has come meanwhile
 	}
 	w := n.sim.world
@@ -257,10 +258,10 @@
 // brief leaves payloads out of what a trace shows.
 func brief(ev reducer.Event) any {
 	switch ev := ev.(type) {
-	case reducer.CallerAsked:
+	case reducer.RequestReceived:
 		ev.Payload = nil
 		return ev
-	case reducer.HopAnswered:
+	case reducer.ServerAnswered:
 		ev.Payload = nil
 		return ev
 	}
@@ -268,51 +269,51 @@
 }
 
 // effects names what an effect asks for, in traces.
-var effects = map[reducer.Do]string{reducer.AnswerCaller: "AnswerCaller", reducer.Dial: "Dial",
-	reducer.Forward: "Forward", reducer.CloseHop: "CloseHop"}
+var effects = map[reducer.Do]string{reducer.AnswerClient: "AnswerCaller", reducer.Dial: "Dial",
+	reducer.Forward: "Forward", reducer.CloseServerConn: "CloseHop"}
 
 func (n *node) carryOut(e reducer.Effect) {
 	w := n.sim.world
-	w.LogEffect(n.id, uint64(e.Do), uint64(e.Leg), uint64(e.Server))
+	w.LogEffect(n.id, uint64(e.Do), uint64(e.Conn), uint64(e.Server))
 	switch e.Do {
-	case reducer.AnswerCaller:
-		c := n.callers[e.Leg]
+	case reducer.AnswerClient:
+		c := n.callers[e.Conn]
 		if c == nil {
 			return
 		}
 		ask := c.ask
 		c.ask = nil
 		if w.Followed(ask) {
-			w.Tracef("effect   proxy %d: %s verdict %d, advice %v", n.id, effects[e.Do], e.Verdict, e.Advice)
+			w.Tracef("effect   proxy %d: %s verdict %d, advice %v", n.id, effects[e.Do], e.Verdict, e.RetryAfter)
 		}
-		ans := emulator.Answer{RetryAfter: e.Advice, Last: e.Last}
+		ans := emulator.Answer{RetryAfter: e.RetryAfter, Last: e.Last}
 		switch e.Verdict {
 		case reducer.Served:
 			ans.Status = 200
 			if r, ok := e.Payload.(*emulator.Reply); ok {
 				ans.Token = r.Attempt.Ask.Token()
 			}
-		case reducer.Busy:
+		case reducer.Rejected:
 			ans.Status = 503
-		case reducer.Late:
+		case reducer.DeadlineExceeded:
 			ans.Status = 504
 		default:
 			ans.Status = 502
 		}
 		w.Clock.At(w.Clock.Now(), func() { w.Answered(c.leg, ans) })
-		n.postFor(ask, reducer.CallerWritten{Leg: e.Leg, OK: true})
-	case reducer.EaseCaller:
-		n.post(reducer.CallerQuiet{Leg: e.Leg})
-	case reducer.TellCallers:
-		n.post(reducer.CallersTold{})
-	case reducer.PartCaller:
-		if c := n.callers[e.Leg]; c != nil {
+		n.postFor(ask, reducer.ResponseWritten{Conn: e.Conn, OK: true})
+	case reducer.CheckClientIdle:
+		n.post(reducer.ClientIdleConfirmed{Conn: e.Conn})
+	case reducer.DrainAcceptQueue:
+		n.post(reducer.AcceptQueueDrained{})
+	case reducer.CloseClientWrite:
+		if c := n.callers[e.Conn]; c != nil {
 			c.part = true
 			w.Clock.At(w.Clock.Now(), func() { w.Closed(c.leg) })
 		}
-	case reducer.CloseCaller:
-		if c := n.callers[e.Leg]; c != nil {
-			delete(n.callers, e.Leg)
+	case reducer.CloseClientConn:
+		if c := n.callers[e.Conn]; c != nil {
+			delete(n.callers, e.Conn)
 			c.leg.Data = nil
 			w.Clock.At(w.Clock.Now(), func() { w.Closed(c.leg) })
 		}
@@ -320,20 +321,20 @@
 		n.dial(e)
 	case reducer.Forward:
 		n.forward(e)
-	case reducer.CloseHop:
-		if h := n.hops[e.Leg]; h != nil {
+	case reducer.CloseServerConn:
+		if h := n.hops[e.Conn]; h != nil {
 			n.close(h)
 		}
-	case reducer.Arm:
+	case reducer.ArmTimer:
 		n.armed++
 		mine, life := n.armed, n.life
 		w.Clock.At(e.At-longAgo, func() {
 			if n.armed == mine && n.life == life {
-				n.post(reducer.Woken{})
+				n.post(reducer.TimerFired{})
 			}
 		})
 	case reducer.Watch:
-		n.ask(e.Text, e.At-longAgo, e.GiveUp-longAgo)
+		n.ask(e.Text, e.At-longAgo, e.GiveUpAt-longAgo)
 	case reducer.Finish:
 		n.end(false)
 	}
@@ -344,20 +345,20 @@
 	w := n.sim.world
 	at, ok := n.addresses[e.Server]
 	if !ok {
-		n.post(reducer.HopDialed{Leg: e.Leg})
+		n.post(reducer.ServerDialed{Conn: e.Conn})
 		return
 	}
 	if w.Followed(n.asked) {
-		w.Tracef("effect   proxy %d: Dial hop leg %d to server %d until %v", n.id, e.Leg, at, e.At-longAgo)
+		w.Tracef("effect   proxy %d: Dial hop leg %d to server %d until %v", n.id, e.Conn, at, e.At-longAgo)
 	}
-	h := &hopLeg{id: e.Leg, server: e.Server}
-	n.hops[e.Leg] = h
+	h := &hopLeg{id: e.Conn, server: e.Server}
+	n.hops[e.Conn] = h
 	h.hop = w.Open(n.id, at, h)
 	life := n.life
 	w.Clock.At(e.At-longAgo, func() {
 		if n.life == life && n.hops[h.id] == h && !h.open {
 			n.close(h)
-			n.post(reducer.HopDialed{Leg: h.id})
+			n.post(reducer.ServerDialed{Conn: h.id})
 		}
 	})
 }
@@ -365,20 +366,20 @@
 func (n *node) forward(e reducer.Effect) {
 	w := n.sim.world
 	ask, ok := e.Payload.(*emulator.Ask)
-	h := n.hops[e.Leg]
+	h := n.hops[e.Conn]
 	if !ok {
 		return
 	}
 	if w.Followed(ask) {
-		w.Tracef("effect   proxy %d: Forward on hop leg %d until %v", n.id, e.Leg, e.At-longAgo)
+		w.Tracef("effect   proxy %d: Forward on hop leg %d until %v", n.id, e.Conn, e.At-longAgo)
 	}
 	if h == nil || h.stray {
-		n.postFor(ask, reducer.HopUnfit{Leg: e.Leg})
+		n.postFor(ask, reducer.ServerConnUnusable{Conn: e.Conn})
 		return
 	}
 	h.busy = true
 	w.Forward(h.hop, ask)
-	n.postFor(ask, reducer.HopWritten{Leg: e.Leg, OK: true})
+	n.postFor(ask, reducer.RequestWritten{Conn: e.Conn, OK: true})
 }
 
 func (n *node) close(h *hopLeg) {
@@ -406,7 +407,7 @@
 		if n.life == life && n.watch == c {
 			n.watch = nil
 			w.GiveUp(c)
-			n.post(reducer.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
+			n.post(reducer.ListReceived{List: lg.List{Kind: lg.ListFailed}, NextFull: n.version == 0})
 		}
 	})
 }
@@ -464,7 +465,7 @@
 	c := &callerLeg{id: n.last, leg: l}
 	l.Data = c
 	n.callers[c.id] = c
-	n.post(reducer.CallerOpened{Leg: c.id})
+	n.post(reducer.ClientOpened{Conn: c.id})
 	s.world.Clock.At(s.world.Clock.Now(), func() { s.world.Dialed(l, true) })
 }
 
@@ -476,7 +477,7 @@
 		return // what closed it is on its way
 	}
 	c.ask = a
-	n.postFor(a, reducer.CallerAsked{Leg: c.id, Name: a.Name, Class: a.Call.Class, Tenant: a.Call.Tenant,
+	n.postFor(a, reducer.RequestReceived{Conn: c.id, Name: a.Name, Class: a.Call.Class, Tenant: a.Call.Tenant,
 		Key: a.Call.Key, HasKey: a.Call.Key != 0, Deadline: longAgo + a.GiveUp, Repeat: a.Repeat, Payload: a})
 }
 
@@ -489,7 +490,7 @@
 	}
 	l.Data = nil
 	delete(n.callers, c.id)
-	n.postFor(c.ask, reducer.CallerClosed{Leg: c.id})
+	n.postFor(c.ask, reducer.ClientClosed{Conn: c.id})
 }
 
 // hop finds the leg of a connection, unless the proxy has closed it or is gone.
@@ -512,7 +513,7 @@
 	if !ok {
 		delete(n.hops, l.id)
 	}
-	n.post(reducer.HopDialed{Leg: l.id, OK: ok})
+	n.post(reducer.ServerDialed{Conn: l.id, OK: ok})
 }
 
 // Answer brings a server's answer.
@@ -524,18 +525,18 @@
 	ask := r.Attempt.Ask
 	if !l.busy {
 		l.stray = true
-		n.post(reducer.HopStray{Leg: l.id})
+		n.post(reducer.UnexpectedServerData{Conn: l.id})
 		return
 	}
 	l.busy = false
-	ev := reducer.HopAnswered{Leg: l.id, Result: lg.OK, Payload: r, Keep: !r.Last}
+	ev := reducer.ServerAnswered{Conn: l.id, Result: lg.OK, Payload: r, Reusable: !r.Last}
 	switch r.Kind {
 	case emulator.Failed:
 		ev.Result = lg.ServerError
 	case emulator.NotStarted:
 		ev.Result = lg.Full
 	case emulator.Garbled:
-		ev.Result, ev.Keep = lg.ServerError, false
+		ev.Result, ev.Reusable = lg.ServerError, false
 	}
 	if r.Kind != emulator.Garbled {
 		ev.Load = lg.LoadReport{N: 2, Values: [4]float64{r.Load.InFlight, r.Load.LatencyMS}}
@@ -554,10 +555,10 @@
 	}
 	delete(n.hops, l.id)
 	if !l.open {
-		n.post(reducer.HopDialed{Leg: l.id})
+		n.post(reducer.ServerDialed{Conn: l.id})
 		return
 	}
-	n.post(reducer.HopClosed{Leg: l.id})
+	n.post(reducer.ServerClosed{Conn: l.id})
 }
 
 // Tell brings discovery's answer.
@@ -568,11 +569,11 @@
 	}
 	n.watch = nil
 	if d == nil {
-		n.post(reducer.ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: n.version == 0})
+		n.post(reducer.ListReceived{List: lg.List{Kind: lg.ListFailed}, NextFull: n.version == 0})
 		return
 	}
 	list := n.list(d)
-	n.post(reducer.ListTold{List: list, Whole: n.version == 0})
+	n.post(reducer.ListReceived{List: list, NextFull: n.version == 0})
 }
 
 // Moved has a proxy reload.
@@ -582,7 +583,7 @@
 		return
 	}
 	callers, hops := budget(s.sc.Proxies.Sockets)
-	n.post(reducer.Reloaded{Discovery: s.world.DiscoveryAddress(), MaxCallers: callers, MaxHops: hops})
+	n.post(reducer.Reloaded{Discovery: s.world.DiscoveryAddress(), MaxClients: callers, MaxServerConns: hops})
 }
 
 // killAfter is how long a planned stop may take beyond the longest deadline.
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -144,19 +144,19 @@
 		}(), decider: &blind{again: again}},
 		{name: "a server that drains is still sent to", want: emulator.RuleDrain, sc: small(rolling),
 			deafen: func(_ int, ev reducer.Event) bool {
-				told, ok := ev.(reducer.ListTold)
+				told, ok := ev.(reducer.ListReceived)
 				return ok && told.List.Kind == lg.Changes && len(told.List.Servers) > 0
 			}},
 		{name: "a refusal of what may have run", want: emulator.RuleRefused, sc: small(hang),
 			decider: &blind{}, tamper: func(_ int, e reducer.Effect) []reducer.Effect {
-				if e.Do == reducer.AnswerCaller && e.Verdict != reducer.Served {
-					e.Verdict = reducer.Busy
+				if e.Do == reducer.AnswerClient && e.Verdict != reducer.Served {
+					e.Verdict = reducer.Rejected
 				}
 				return []reducer.Effect{e}
 			}},
 		{name: "an answer that is never written", want: emulator.RuleLost, sc: small(),
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
-				if e.Do == reducer.AnswerCaller && e.Leg%7 == 0 {
+				if e.Do == reducer.AnswerClient && e.Conn%7 == 0 {
 					return nil
 				}
 				return []reducer.Effect{e}
@@ -164,14 +164,14 @@
 		{name: "an answer that no server made", want: emulator.RuleLost, sc: small(), decider: &blind{
 			arrive: func(_ *blind, ev lg.Request) []lg.Action { return []lg.Action{{Do: lg.Fail, Request: ev.ID}} }},
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
-				if e.Do == reducer.AnswerCaller {
+				if e.Do == reducer.AnswerClient {
 					e.Verdict = reducer.Served
 				}
 				return []reducer.Effect{e}
 			}},
 		{name: "two answers", want: emulator.RuleLost, sc: small(),
 			tamper: func(_ int, e reducer.Effect) []reducer.Effect {
-				if e.Do == reducer.AnswerCaller {
+				if e.Do == reducer.AnswerClient {
 					return []reducer.Effect{e, e}
 				}
 				return []reducer.Effect{e}
@@ -183,12 +183,12 @@
 					if e.Do != reducer.Forward {
 						return []reducer.Effect{e}
 					}
-					legs[[2]uint64{uint64(p), uint64(e.Leg)}] = true
+					legs[[2]uint64{uint64(p), uint64(e.Conn)}] = true
 					out := []reducer.Effect{e}
 					for k := range legs {
-						if k[0] == uint64(p) && k[1] != uint64(e.Leg) {
+						if k[0] == uint64(p) && k[1] != uint64(e.Conn) {
 							o := e
-							o.Leg = reducer.LegID(k[1])
+							o.Conn = reducer.ConnID(k[1])
 							return append(out, o)
 						}
 					}
--- a/internal/reducer/attempts_test.go
+++ b/internal/reducer/attempts_test.go
@@ -13,15 +13,15 @@
 // other way round: how far the writing came decides, in whichever order the two are told.
 func TestBreakBeforeTheLastByte(t *testing.T) {
 	m, c := started(t)
-	m.step(HopClosed{1})
+	m.step(ServerClosed{1})
 	m.hops[1].busy, c.out = nil, false
-	m.step(HopWritten{Leg: 1, OK: false})
+	m.step(RequestWritten{Conn: 1, OK: false})
 	if c.answers != 0 || len(m.hops) != 1 {
 		t.Fatal("not sent again, though it never ran")
 	}
 	m, _ = started(t)
-	m.step(HopClosed{1})
-	if v := m.verdict(HopWritten{Leg: 1, OK: true}); v != Broken {
+	m.step(ServerClosed{1})
+	if v := m.verdict(RequestWritten{Conn: 1, OK: true}); v != Failed {
 		t.Errorf("verdict %d for a request that may have run", v)
 	}
 }
@@ -37,7 +37,7 @@
 			t.Errorf("%d legs kept", h.Legs)
 		}
 	}
-	m.step(HopWritten{Leg: 1, OK: true}) // what was under way comes to nothing
+	m.step(RequestWritten{Conn: 1, OK: true}) // what was under way comes to nothing
 	m.pass(time.Second)
 }
 
@@ -48,18 +48,18 @@
 	m.open(1)
 	m.ask(1, 0)
 	c, at := m.calls[0], m.now
-	for tries := LegID(1); tries <= 3; tries++ {
+	for tries := ConnID(1); tries <= 3; tries++ {
 		if c.answers > 0 || m.hops[tries] == nil {
 			t.Fatalf("%d legs, %d answers while there was another next hop", len(m.hops), c.answers)
 		}
 		m.routes(lg.Changes, lg.Draining, m.hops[tries].server)
 	}
-	if c.answers != 1 || c.verdict != Busy || m.now != at {
+	if c.answers != 1 || c.verdict != Rejected || m.now != at {
 		t.Errorf("%d answers, verdict %d", c.answers, c.verdict)
 	}
 	for id := range m.hops { // comes up all the same, and the model watches that nothing goes there
 		m.hops[id].open = true
-		m.step(HopDialed{Leg: id, OK: true})
+		m.step(ServerDialed{Conn: id, OK: true})
 	}
 	if len(m.hops) > 0 {
 		t.Errorf("%d legs kept to next hops that take nothing new", len(m.hops))
@@ -87,30 +87,30 @@
 		m.s.bal = module
 		m.routes(lg.FullList, lg.Ready, 1, 2, 3)
 		m.callers[1] = nil
-		m.step(CallerOpened{1})
+		m.step(ClientOpened{1})
 		m.ask(1, 1)
 		m.hops[1].open = true
-		m.step(HopDialed{Leg: 1, OK: true})
+		m.step(ServerDialed{Conn: 1, OK: true})
 		began := m.now
 		m.now += 200 * ms
-		m.step(HopWritten{Leg: 1, OK: true})
+		m.step(RequestWritten{Conn: 1, OK: true})
 		m.end(1, lg.ServerError, false) // it may have run; the repeat has a leg opened
 		id := pick(rand.New(rand.NewPCG(1, 1)), m.hops, func(h *hopModel) bool { return !h.open })
 		if id == 0 {
 			t.Fatalf("%s: not repeated", tc.name)
 		}
 		m.hops[id].open, m.now = true, began+tc.until
-		m.step(HopDialed{Leg: id, OK: true})
+		m.step(ServerDialed{Conn: id, OK: true})
 		if got := m.hops[id] != nil && m.hops[id].busy != nil; got != tc.forwarded {
 			t.Errorf("%s: repeated %t", tc.name, got)
 		}
 	}
 	m := newModel(t)
 	m.callers[1] = nil
-	m.step(CallerOpened{1})
+	m.step(ClientOpened{1})
 	m.ask(1, 0)
 	m.hops[1].open, m.now = true, m.calls[0].deadline-margin
-	if v := m.verdict(HopDialed{Leg: 1, OK: true}); v != Busy {
+	if v := m.verdict(ServerDialed{Conn: 1, OK: true}); v != Rejected {
 		t.Errorf("verdict %d for what was never sent", v)
 	}
 }
@@ -118,13 +118,13 @@
 // TestDeadlineHoldsWithoutTheModule covers a request that stays on a silent next hop.
 func TestDeadlineHoldsWithoutTheModule(t *testing.T) {
 	m, c := started(t)
-	m.step(HopWritten{Leg: 1, OK: true})
+	m.step(RequestWritten{Conn: 1, OK: true})
 	m.pass(c.deadline - m.now - margin - 1)
 	if c.answers != 0 {
 		t.Fatal("answered early")
 	}
 	m.now += 1
-	if v := m.verdict(Woken{}); v != Late {
+	if v := m.verdict(TimerFired{}); v != DeadlineExceeded {
 		t.Errorf("verdict %d", v)
 	}
 }
@@ -139,7 +139,7 @@
 		t.Errorf("sent twice: %+v", m.s.effects)
 	}
 	m.s.act(lg.Action{Do: lg.Refuse, Request: 1})
-	if len(m.s.effects) != 1 || m.s.effects[0].Verdict != Broken {
+	if len(m.s.effects) != 1 || m.s.effects[0].Verdict != Failed {
 		t.Errorf("got %+v", m.s.effects)
 	}
 }
@@ -149,7 +149,7 @@
 func TestUnfitLegIsReplaced(t *testing.T) {
 	m, c := started(t)
 	m.hops[1].busy, c.out = nil, false
-	m.step(HopUnfit{1})
+	m.step(ServerConnUnusable{1})
 	if m.hops[1] != nil || len(m.hops) != 1 || m.hops[2].server != 0 && c.answers != 0 {
 		t.Errorf("legs %v, %d answers", m.hops, c.answers)
 	}
@@ -160,7 +160,7 @@
 func TestDialLeavesTimeForAnother(t *testing.T) {
 	m := newModel(t)
 	m.open(1)
-	for _, e := range m.s.Step(m.now, CallerAsked{Leg: 1, Name: "1", Deadline: m.now + 300*ms}) {
+	for _, e := range m.s.Step(m.now, RequestReceived{Conn: 1, Name: "1", Deadline: m.now + 300*ms}) {
 		if e.Do == Dial && e.At > m.now+75*ms {
 			t.Errorf("dials for %v of 300 ms", e.At-m.now)
 		}
@@ -170,11 +170,11 @@
 // TestTrustInIdleLegs guards against writing on legs that the other side has long dropped.
 func TestTrustInIdleLegs(t *testing.T) {
 	m, c := started(t)
-	m.step(HopWritten{Leg: 1, OK: true})
+	m.step(RequestWritten{Conn: 1, OK: true})
 	m.end(1, lg.OK, true)
 	delete(m.writing, c.leg)
 	m.callers[c.leg] = nil
-	m.step(CallerWritten{Leg: c.leg, OK: true})
+	m.step(ResponseWritten{Conn: c.leg, OK: true})
 	for id := range m.state {
 		if id != m.hops[1].server {
 			m.routes(lg.Changes, lg.Draining, id)
--- a/internal/reducer/callers.go
+++ b/internal/reducer/callers.go
@@ -6,9 +6,9 @@
 
 // reading notes that a request has begun to come in. The first one's time counts from the start
 // of its leg, so that a caller can't stretch it by saying nothing first.
-func (s *State) reading(c *caller, ev CallerReading) {
-	if c.by = ev.By; c.by > 0 && !c.asked {
-		c.by = min(c.by, c.since+readWithin+ev.Took)
+func (s *State) reading(c *caller, ev ClientReading) {
+	if c.by = ev.Deadline; c.by > 0 && !c.asked {
+		c.by = min(c.by, c.since+readWithin+ev.BodyAllowance)
 	}
 	if c.phase == callerReading {
 		return
@@ -24,10 +24,10 @@
 // room; at the cap, with all busy, the new one is refused once it has asked. Guards against
 // callers who ask once and keep their legs for good: where callers have only so many themselves,
 // the idle ones would leave them none to ask on, long before the proxy runs out.
-func (s *State) opened(id LegID) {
+func (s *State) opened(id ConnID) {
 	c := &caller{id: id}
-	if 2*len(s.callers) >= s.cfg.MaxCallers {
-		c.over = s.held() >= s.cfg.MaxCallers
+	if 2*len(s.callers) >= s.cfg.MaxClients {
+		c.over = s.held() >= s.cfg.MaxClients
 		if spare := s.spare(c.over); spare != nil {
 			s.miss(spare)
 		}
@@ -44,7 +44,7 @@
 func (s *State) miss(c *caller) {
 	switch c.phase {
 	case callerParting:
-		s.closeCaller(c, ClosedForRoom)
+		s.closeCaller(c, ClosedForCapacity)
 	case callerReading:
 		s.reply(c.id, Effect{Verdict: TooSlow, Last: true})
 	default:
@@ -99,20 +99,20 @@
 	return inUse
 }
 
-func (s *State) asked(ev CallerAsked) {
-	c := s.callers[ev.Leg]
+func (s *State) asked(ev RequestReceived) {
+	c := s.callers[ev.Conn]
 	if c == nil || c.phase > callerReading {
 		return
 	}
 	switch {
-	case s.outgoing() && s.work.closed, c.over && s.held() > s.cfg.MaxCallers:
-		s.ended(s.began(s.counts.classes[ev.Class]), Busy)
-		s.reply(c.id, Effect{Verdict: Busy, Last: true})
+	case s.outgoing() && s.work.closed, c.over && s.held() > s.cfg.MaxClients:
+		s.ended(s.began(s.counts.classes[ev.Class]), Rejected)
+		s.reply(c.id, Effect{Verdict: Rejected, Last: true})
 		return
 	case s.names[ev.Name]:
 		// Guards against a request in another's name: two of them at the album servers are the
 		// same to whoever looks for repeats.
-		s.reply(c.id, Effect{Verdict: Taken, Last: ev.Last || ev.Stream})
+		s.reply(c.id, Effect{Verdict: DuplicateName, Last: ev.Last || ev.Stream})
 		return
 	}
 	c.over = false
@@ -120,7 +120,7 @@
 	r := &request{id: s.lastID, name: ev.Name, class: ev.Class, caller: c, came: s.now,
 		deadline: ev.Deadline - margin, payload: ev.Payload, count: s.began(s.counts.classes[ev.Class])}
 	r.unsafe = s.cfg.Settings.Classes[ev.Class].Effect == lg.Unsafe
-	if r.stream, r.may = ev.Stream, ev.May; ev.HasKey {
+	if r.stream, r.may = ev.Stream, ev.Timeout; ev.HasKey {
 		r.key = ev.Key
 	}
 	r.reachBy = s.now + max(0, r.deadline-s.now)/2
@@ -148,7 +148,7 @@
 		s.settle()
 	}
 	if !r.done {
-		s.finish(r, Effect{Verdict: Busy})
+		s.finish(r, Effect{Verdict: Rejected})
 		s.tell(lg.Departed{Request: r.id})
 	}
 }
@@ -159,14 +159,14 @@
 		return
 	}
 	// Guards against refusing what may have run, whatever asked for it.
-	if e.Verdict == Busy && (r.mayRun || r.branch != nil) {
-		e.Verdict = Broken
+	if e.Verdict == Rejected && (r.mayRun || r.branch != nil) {
+		e.Verdict = Failed
 	}
-	if e.Verdict == Broken && r.late {
-		e.Verdict = Late
+	if e.Verdict == Failed && r.late {
+		e.Verdict = DeadlineExceeded
 	}
 	if e.Verdict != Served && e.Payload == nil {
-		e.Payload = Unserved{Took: s.now - r.came, Attempts: r.sent, Last: r.result}
+		e.Payload = FailureDetails{Elapsed: s.now - r.came, Attempts: r.sent, LastResult: r.result}
 	}
 	if s.cfg.Trace != nil {
 		s.trace("F %d %s", r.id, verdicts[e.Verdict])
@@ -201,7 +201,7 @@
 }
 
 // reply has an answer written on a caller leg.
-func (s *State) reply(id LegID, e Effect) {
+func (s *State) reply(id ConnID, e Effect) {
 	c := s.callers[id]
 	if c == nil || c.req != nil || c.phase > callerAsking {
 		return
@@ -209,12 +209,12 @@
 	s.phase(c, callerAnswering)
 	c.asked = true
 	c.last = c.last || e.Last || s.stopping || s.outgoing()
-	e.Do, e.Leg, e.Last, e.At = AnswerCaller, id, c.last, s.now+takeWithin
+	e.Do, e.Conn, e.Last, e.At = AnswerClient, id, c.last, s.now+takeWithin
 	s.do(e)
 }
 
-func (s *State) callerWritten(ev CallerWritten) {
-	c := s.callers[ev.Leg]
+func (s *State) callerWritten(ev ResponseWritten) {
+	c := s.callers[ev.Conn]
 	if c == nil || c.phase != callerAnswering {
 		return
 	}
@@ -223,7 +223,7 @@
 	}
 	switch {
 	case !ev.OK:
-		s.closeCaller(c, ClosedUnwritten)
+		s.closeCaller(c, ClosedWriteFailed)
 	case c.last:
 		// Guards against a reset that overtakes the answer: the leg is closed when the caller
 		// has closed it, or a while later.
@@ -239,7 +239,7 @@
 	s.countClose(c, cause)
 	s.phase(c, callerParting)
 	s.parting++
-	s.do(Effect{Do: PartCaller, Leg: c.id})
+	s.do(Effect{Do: CloseClientWrite, Conn: c.id})
 	s.clock.add(s.now+partWithin, func() {
 		if s.callers[c.id] == c {
 			s.closeCaller(c, cause)
@@ -250,12 +250,12 @@
 func (s *State) closeCaller(c *caller, cause CloseCause) {
 	s.checkClose(c, cause)
 	s.countClose(c, cause)
-	s.do(Effect{Do: CloseCaller, Leg: c.id})
+	s.do(Effect{Do: CloseClientConn, Conn: c.id})
 	s.callerClosed(c.id)
 }
 
 // callerClosed forgets a caller leg. A branch that is out for it runs on.
-func (s *State) callerClosed(id LegID) {
+func (s *State) callerClosed(id ConnID) {
 	c := s.callers[id]
 	if c == nil {
 		return
@@ -266,10 +266,10 @@
 		s.parting--
 	}
 	if c.feed != nil {
-		s.streamed(c, CallerWritten{})
+		s.streamed(c, ResponseWritten{})
 	}
 	if r := c.req; r != nil {
-		s.ended(r.count, Broken)
+		s.ended(r.count, Failed)
 		s.forget(r)
 		s.cancel(r)
 		s.tell(lg.Departed{Request: r.id})
--- a/internal/reducer/clients_test.go
+++ b/internal/reducer/clients_test.go
@@ -10,14 +10,14 @@
 // TestFullHouseIsRefused guards against a leg beyond the cap losing what it asks.
 func TestFullHouseIsRefused(t *testing.T) {
 	m := newModel(t)
-	for leg := LegID(1); int(leg) <= m.s.cfg.MaxCallers; leg++ {
+	for leg := ConnID(1); int(leg) <= m.s.cfg.MaxClients; leg++ {
 		m.callers[leg] = nil
-		m.step(CallerOpened{leg})
+		m.step(ClientOpened{leg})
 		m.ask(leg, 0)
 	}
 	m.callers[99] = nil
-	m.step(CallerOpened{99})
-	if v := m.verdict(CallerAsked{Leg: 99, Deadline: m.now + time.Second}); v != Busy {
+	m.step(ClientOpened{99})
+	if v := m.verdict(RequestReceived{Conn: 99, Deadline: m.now + time.Second}); v != Rejected {
 		t.Errorf("verdict %d", v)
 	}
 }
@@ -27,15 +27,15 @@
 // keeps its leg for longer.
 func TestBadCallersAreEnded(t *testing.T) {
 	m, c := started(t)
-	m.step(HopWritten{Leg: 1, OK: true})
+	m.step(RequestWritten{Conn: 1, OK: true})
 	m.end(1, lg.OK, true)
 	delete(m.writing, c.leg)
 	m.callers[c.leg] = nil
-	m.step(CallerWritten{Leg: c.leg, OK: true})
+	m.step(ResponseWritten{Conn: c.leg, OK: true})
 	m.open(2)
 	m.open(3)
 	m.pass(askWithin - ms) // says nothing for as long as it can, then half a request
-	m.step(CallerReading{Leg: 3})
+	m.step(ClientReading{Conn: 3})
 	m.pass(3*time.Second - askWithin)
 	if m.kept(2) || !m.writing[3] {
 		t.Error("a silent caller kept, or a slow one not told")
@@ -53,13 +53,13 @@
 // is room, since its caller has most likely asked by now.
 func TestRoomIsMade(t *testing.T) {
 	m, c := started(t)
-	m.step(HopWritten{Leg: 1, OK: true})
+	m.step(RequestWritten{Conn: 1, OK: true})
 	m.end(1, lg.OK, true)
 	delete(m.writing, c.leg)
 	m.callers[c.leg] = nil
-	m.step(CallerWritten{Leg: c.leg, OK: true})
-	half := LegID(m.s.cfg.MaxCallers / 2)
-	for leg := LegID(2); leg <= half; leg++ {
+	m.step(ResponseWritten{Conn: c.leg, OK: true})
+	half := ConnID(m.s.cfg.MaxClients / 2)
+	for leg := ConnID(2); leg <= half; leg++ {
 		m.open(leg)
 		m.now += ms
 	}
@@ -75,8 +75,8 @@
 		t.Error("a leg that has just come in made room for others")
 	}
 	m = newModel(t)
-	most := LegID(m.s.cfg.MaxCallers)
-	for leg := LegID(1); leg <= most; leg++ {
+	most := ConnID(m.s.cfg.MaxClients)
+	for leg := ConnID(1); leg <= most; leg++ {
 		m.open(leg)
 	}
 	if m.s.held() != int(most) {
@@ -119,22 +119,22 @@
 // the first may, whether or not that one's caller is still there.
 func TestNameInUse(t *testing.T) {
 	m, c := started(t)
-	again := CallerAsked{Leg: 2, Name: "1", Deadline: c.deadline}
+	again := RequestReceived{Conn: 2, Name: "1", Deadline: c.deadline}
 	m.open(2)
-	if v := m.verdict(again); v != Taken {
+	if v := m.verdict(again); v != DuplicateName {
 		t.Errorf("verdict %d", v)
 	}
 	m.forget(1)
-	m.step(CallerClosed{1})
+	m.step(ClientClosed{1})
 	m.open(3)
-	if again.Leg = 3; m.verdict(again) != Taken {
+	if again.Conn = 3; m.verdict(again) != DuplicateName {
 		t.Error("taken on, though the first may still be at a next hop")
 	}
 	m.pass(time.Second)
-	again.Leg, again.Deadline, again.Payload = 4, m.now+time.Second, &call{leg: 4}
+	again.Conn, again.Deadline, again.Payload = 4, m.now+time.Second, &call{leg: 4}
 	m.open(4)
 	for _, e := range m.s.Step(m.now, again) {
-		if e.Do == AnswerCaller && e.Verdict == Taken {
+		if e.Do == AnswerClient && e.Verdict == DuplicateName {
 			t.Error("the name is taken though the first one is over")
 		}
 	}
--- a/internal/reducer/closes.go
+++ b/internal/reducer/closes.go
@@ -5,12 +5,12 @@
 
 // The causes. Figures.Closes counts by them.
 const (
-	ClosedByClient   CloseCause = iota // its client closed it, or it broke
-	ClosedUnwritten                    // an answer could not be written on it
-	ClosedLastAnswer                   // after an answer that was announced as its last
-	ClosedIdle                         // it rested for too long, or the proxy is stopping
-	ClosedForRoom                      // others needed its descriptor
-	ClosedForWork                      // the proxy's own machine goes out for work
+	ClosedByClient       CloseCause = iota // its client closed it, or it broke
+	ClosedWriteFailed                      // an answer could not be written on it
+	ClosedLastAnswer                       // after an answer that was announced as its last
+	ClosedIdle                             // it rested for too long, or the proxy is stopping
+	ClosedForCapacity                      // others needed its descriptor
+	ClosedForMaintenance                   // the proxy's own machine goes out for work
 	closeCauses
 )
 
--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -12,49 +12,49 @@
 const publishEvery = 100 * time.Millisecond
 
 // Figures are what operators are shown. A published one never changes.
-type Figures struct {
-	Ready             bool // this process can serve
-	Handled           []Handled
-	InProgress        int // requests taken and not ended
-	Tries             uint64
-	Known, Skipped    int // next hops in the server list, and those of them that get nothing new now
-	Loads, LoadErrors uint64
-	Attempts          [attemptResults]uint64 // that ended, by lg.Result
-	Closes            [closeCauses]uint64    // of client connections, by CloseCause
-	Violations        sendguard.Counts       // of the rules at the edge; any is a fault of the program
-	List              ListFigures
-	Sockets           SocketFigures
-	Rooms             []lg.Room     // what was measured of the next hops; nil where proxies settle nothing
-	Hot               []lg.ServerID // next hops where a hot key is sent to
+type Metrics struct {
+	Ready                        bool // this process can serve
+	Handled                      []RequestCounts
+	InProgress                   int // requests taken and not ended
+	RequestsWritten              uint64
+	KnownServers, SkippedServers int // next hops in the server list, and those of them that get nothing new now
+	Loads, LoadErrors            uint64
+	Attempts                     [attemptResults]uint64 // that ended, by lg.Result
+	Closes                       [closeCauses]uint64    // of client connections, by CloseCause
+	Violations                   sendguard.Counts       // of sendguard's rules; each one is a bug in the program
+	List                         ListMetrics
+	Sockets                      SocketMetrics
+	Headroom                     []lg.Room     // measured for each server; nil without peers
+	HotKeyServers                []lg.ServerID // next hops where a hot key is sent to
 }
 
 // ListFigures tell how fresh the server list is that attempts go by.
-type ListFigures struct {
-	Heard         bool          // discovery has answered this process
-	Unheard       time.Duration // how long ago that was last, or it started: a watch that waits adds to it
-	LongestUnsent time.Duration // the longest time in which no call was out, since the last but one failed
-	Failed        int           // calls that failed or fell silent since discovery last answered
-	Outdated      uint64        // attempts sent after failed calls, and unheard for listcalls.NewsBy
-	Lapses        uint64        // times that the list was too old to be used, after it had been used
-	Withheld      uint64        // attempts that were waiting for a connection then, and were not sent
+type ListMetrics struct {
+	Received         bool          // discovery has answered this process
+	SinceAnswer      time.Duration // how long ago that was last, or it started: a watch that waits adds to it
+	LongestPause     time.Duration // the longest time in which no call was out, since the last but one failed
+	FailedCalls      int           // calls that failed or fell silent since discovery last answered
+	OutdatedAttempts uint64        // attempts sent after failed calls, and unheard for listcalls.NewsBy
+	LeaseExpirations uint64        // times that the list was too old to be used, after it had been used
+	WithheldAttempts uint64        // attempts that were waiting for a connection then, and were not sent
 }
 
 // attemptResults is the number of results that an attempt may have.
 const attemptResults = lg.LocalFault + 1
 
 // SocketFigures are counted by the sockets, which the reducer does not know.
-type SocketFigures struct {
+type SocketMetrics struct {
 	CallsAnswered, CallsFailed uint64 // calls to discovery
-	Unwritten                  uint64 // answers that could not be written though their client was there
+	UnwrittenAnswers           uint64 // answers that could not be written though their client was there
 	ClockSteps                 uint64 // of the wall clock
 	SlowEvents                 uint64 // events that the reducer's goroutine took slowEvent and longer for
 	LongestEvent               time.Duration
 	LongestQueued              time.Duration // from when a request or answer was read to when it was looked at
-	LongestList                time.Duration // the longest that a document of the server list took, all told
+	LongestListUpdate          time.Duration // the longest that a document of the server list took, all told
 }
 
 // Handled counts the requests of one class that have ended.
-type Handled struct {
+type RequestCounts struct {
 	Class                       string
 	Passed, Dropped, BadGateway uint64
 }
@@ -69,8 +69,8 @@
 	due       bool // a publication is due
 	taken     uint64
 	open      int
-	handled   []*Handled
-	classes   []*Handled // of these, the one of each class of the settings
+	handled   []*RequestCounts
+	classes   []*RequestCounts // of these, the one of each class of the settings
 	tries     uint64
 	attempts  [attemptResults]uint64
 	closes    [closeCauses]uint64
@@ -81,11 +81,11 @@
 
 // counter is where requests of a class are counted, by its name: a class that is dropped and added again
 // goes on from where it was.
-func (s *State) counter(class string) *Handled {
-	if i := slices.IndexFunc(s.counts.handled, func(h *Handled) bool { return h.Class == class }); i >= 0 {
+func (s *State) counter(class string) *RequestCounts {
+	if i := slices.IndexFunc(s.counts.handled, func(h *RequestCounts) bool { return h.Class == class }); i >= 0 {
 		return s.counts.handled[i]
 	}
-	h := &Handled{Class: class}
+	h := &RequestCounts{Class: class}
 	if len(s.counts.handled) < mostNames {
 		s.counts.handled = append(s.counts.handled, h)
 	}
@@ -93,7 +93,7 @@
 }
 
 // began counts a request that was taken.
-func (s *State) began(h *Handled) *Handled {
+func (s *State) began(h *RequestCounts) *RequestCounts {
 	s.counts.taken++
 	s.counts.open++
 	s.changed()
@@ -102,12 +102,12 @@
 
 // ended counts a request's end. One that ends without an answer, because its caller has left, was neither
 // served nor refused: it counts as Broken.
-func (s *State) ended(h *Handled, v Verdict) {
+func (s *State) ended(h *RequestCounts, v Verdict) {
 	s.counts.open--
 	switch v {
 	case Served:
 		h.Passed++
-	case Busy:
+	case Rejected:
 		h.Dropped++
 	default:
 		h.BadGateway++
@@ -134,16 +134,17 @@
 func (s *State) publish() {
 	s.counts.due, s.counts.ready = false, s.ready()
 	known, draining := s.pool.Listed()
-	f := &Figures{Ready: s.counts.ready, InProgress: s.counts.open, Tries: s.counts.tries, Known: known,
-		Skipped: draining, Loads: s.counts.loads, LoadErrors: s.counts.loadFails,
+	f := &Metrics{Ready: s.counts.ready, InProgress: s.counts.open, RequestsWritten: s.counts.tries,
+		KnownServers:   known,
+		SkippedServers: draining, Loads: s.counts.loads, LoadErrors: s.counts.loadFails,
 		Attempts: s.counts.attempts, Closes: s.counts.closes, Violations: s.broken,
 		List: s.list.figures(s.now)}
 	if m, ok := s.bal.(interface{ Skipped() int }); ok {
-		f.Skipped += m.Skipped()
+		f.SkippedServers += m.Skipped()
 	}
 	if m, ok := s.bal.(interface{ Rooms() []lg.Room }); ok && s.work != nil {
-		f.Rooms = m.Rooms()
-		f.Hot = s.work.keys.Hot(s.now, len(f.Rooms))
+		f.Headroom = m.Rooms()
+		f.HotKeyServers = s.work.keys.Hot(s.now, len(f.Headroom))
 	}
 	for _, h := range s.counts.handled {
 		f.Handled = append(f.Handled, *h)
--- a/internal/reducer/fuzz_test.go
+++ b/internal/reducer/fuzz_test.go
@@ -9,8 +9,8 @@
 	lg "lilacglade"
 )
 
-func pick[V any](rng *rand.Rand, from map[LegID]V, fits func(V) bool) LegID {
-	var ids []LegID
+func pick[V any](rng *rand.Rand, from map[ConnID]V, fits func(V) bool) ConnID {
+	var ids []ConnID
 	for id, v := range from {
 		if fits(v) {
 			ids = append(ids, id)
@@ -33,7 +33,7 @@
 			m.next++
 			leg = m.next
 			m.callers[leg] = nil
-			m.step(CallerOpened{leg})
+			m.step(ClientOpened{leg})
 		}
 		c, there := m.callers[leg]
 		there = there && c == nil // else it was let go in the moment in which it came
@@ -50,12 +50,12 @@
 			if ok && !last {
 				m.callers[leg] = nil
 			}
-			m.step(CallerWritten{Leg: leg, OK: ok, Keep: keep})
+			m.step(ResponseWritten{Conn: leg, OK: ok, Reusable: keep})
 		}
 	case 5:
 		if leg := pick(rng, m.callers, func(*call) bool { return true }); leg != 0 && rng.IntN(3) == 0 {
 			m.forget(leg)
-			m.step(CallerClosed{leg})
+			m.step(ClientClosed{leg})
 		}
 	case 6, 7:
 		if id := pick(rng, m.hops, func(h *hopModel) bool { return !h.open }); id != 0 {
@@ -63,7 +63,7 @@
 			if m.hops[id].open = ok; !ok {
 				delete(m.hops, id)
 			}
-			m.step(HopDialed{Leg: id, OK: ok})
+			m.step(ServerDialed{Conn: id, OK: ok})
 		}
 	case 8:
 		if id := pick(rng, m.hops, func(h *hopModel) bool { return h.busy != nil && !h.written }); id != 0 {
@@ -71,9 +71,9 @@
 			if rng.IntN(6) == 0 { // nothing could be written on it
 				h.busy.out, h.busy = false, nil
 				if rng.IntN(2) == 0 { // or was held up for too long
-					m.step(HopUnsent{id})
+					m.step(RequestUnsent{id})
 				} else {
-					m.step(HopUnfit{id})
+					m.step(ServerConnUnusable{id})
 				}
 				break
 			}
@@ -81,7 +81,7 @@
 			h.busy.gone = h.busy.gone || gone
 			if h.busy.stream && !h.busy.whole && rng.IntN(4) == 0 { // the rest of it is none
 				c := h.busy
-				m.step(CallerSpoilt{Leg: c.leg, Slow: rng.IntN(2) == 0})
+				m.step(RequestBodyFailed{Conn: c.leg, TimedOut: rng.IntN(2) == 0})
 				if m.hops[id] != nil || c.answers == 0 {
 					m.t.Fatal("a spoilt request kept")
 				}
@@ -89,14 +89,14 @@
 			}
 			if h.written = rng.IntN(6) > 0; !h.written { // broken before the last byte: it never ran
 				h.busy.out, h.busy = false, nil
-				m.step(HopClosed{id})
+				m.step(ServerClosed{id})
 			} else {
 				m.tries++
 				if h.busy.stream && !h.busy.whole {
 					m.finishes(h.busy)
 				}
 			}
-			m.step(HopWritten{Leg: id, OK: h.written, Gone: gone})
+			m.step(RequestWritten{Conn: id, OK: h.written, BodyConsumed: gone})
 		}
 	case 9, 10:
 		if id := pick(rng, m.hops, func(h *hopModel) bool { return h.written && h.busy != nil }); id != 0 {
@@ -113,19 +113,19 @@
 				c.out, c.mayRun = false, true
 			}
 			delete(m.hops, id)
-			m.step(HopClosed{id})
+			m.step(ServerClosed{id})
 		}
 	case 13:
 		idle := func(h *hopModel) bool { return h.open && h.busy == nil && h.feeds == nil }
 		if id := pick(rng, m.hops, idle); id != 0 {
-			if m.step(HopStray{id}); m.hops[id] != nil {
+			if m.step(UnexpectedServerData{id}); m.hops[id] != nil {
 				m.t.Fatal("a leg kept that brought what nobody asked for")
 			}
 		}
 	case 14:
 		if leg := pick(rng, m.callers, func(c *call) bool { return c != nil && c.answers == 0 }); leg != 0 {
 			m.flooding[leg] = true
-			m.step(CallerFlooding{leg})
+			m.step(ClientFlooding{leg})
 		}
 	case 12:
 		if rng.IntN(4) == 0 {
@@ -158,7 +158,7 @@
 		}
 		for _, c := range m.calls { // the sockets bound how long a request may come in
 			if c.stream && !c.whole && c.answers == 0 && !c.left {
-				m.step(CallerSpoilt{Leg: c.leg, Slow: true})
+				m.step(RequestBodyFailed{Conn: c.leg, TimedOut: true})
 			}
 		}
 		for range 3 { // once more for each who came at the last moment
@@ -170,7 +170,7 @@
 					m.callers[leg] = nil
 				}
 				delete(m.writing, leg)
-				m.step(CallerWritten{Leg: leg, OK: true})
+				m.step(ResponseWritten{Conn: leg, OK: true})
 			}
 			m.pass(2 * drainEvery)
 		}
--- a/internal/reducer/guard.go
+++ b/internal/reducer/guard.go
@@ -27,7 +27,7 @@
 	r := b.req
 	a := sendguard.Attempt{Now: s.now, State: b.hop.State(), Place: b.place,
 		Class: s.cfg.Settings.Classes[r.class], Ended: r.done || r.caller == nil, AtOnce: r.branch != b,
-		Unconfirmed: s.pushed() && !s.list.confirmed && s.now < s.cfg.Confirm, Expired: s.expired()}
+		Unconfirmed: s.pushed() && !s.list.confirmed && s.now < s.cfg.ConfirmTimeout, Expired: s.expired()}
 	if r.mayRun {
 		a.Ran = &r.ran
 	}
@@ -47,7 +47,7 @@
 
 // checkClose holds that no client's connection is ended while an answer is owed on it.
 func (s *State) checkClose(c *caller, cause CloseCause) {
-	if c.req != nil && cause != ClosedForWork {
+	if c.req != nil && cause != ClosedForMaintenance {
 		s.violated(sendguard.Abandoned, c.req)
 	}
 }
--- a/internal/reducer/guard_test.go
+++ b/internal/reducer/guard_test.go
@@ -40,7 +40,7 @@
 	now      time.Duration
 	forwards []lg.ServerID
 	verdicts []Verdict
-	last     LegID // that was written to
+	last     ConnID // that was written to
 }
 
 // step takes an event; whatever is dialed comes up, and what is forwarded is written.
@@ -52,11 +52,11 @@
 		for _, e := range g.s.Step(g.now, events[0]) {
 			switch e.Do {
 			case Dial:
-				next = append(next, HopDialed{Leg: e.Leg, OK: true})
+				next = append(next, ServerDialed{Conn: e.Conn, OK: true})
 			case Forward:
-				g.forwards, g.last = append(g.forwards, g.s.legs[e.Leg].Hop.ID), e.Leg
-				next = append(next, HopWritten{Leg: e.Leg, OK: true})
-			case AnswerCaller:
+				g.forwards, g.last = append(g.forwards, g.s.legs[e.Conn].Hop.ID), e.Conn
+				next = append(next, RequestWritten{Conn: e.Conn, OK: true})
+			case AnswerClient:
 				g.verdicts = append(g.verdicts, e.Verdict)
 			}
 		}
@@ -75,18 +75,18 @@
 		rule     sendguard.Rule
 		verdict  Verdict
 	}{
-		{"unsafe, once more", lg.Class{Effect: lg.Unsafe}, []lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Broken},
+		{"unsafe, once more", lg.Class{Effect: lg.Unsafe}, []lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Failed},
 		{"keyed, in its zone", lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second},
-			[]lg.ServerID{1, 3}, nil, 2, sendguard.None, Broken},
+			[]lg.ServerID{1, 3}, nil, 2, sendguard.None, Failed},
 		{"keyed, in its zone, whose first server is listed no more",
 			lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second}, []lg.ServerID{1, 3},
-			func(g *guarded) { g.step(listOf(lg.Changes, lg.Gone, 1)) }, 2, sendguard.None, Broken},
+			func(g *guarded) { g.step(listOf(lg.Changes, lg.Gone, 1)) }, 2, sendguard.None, Failed},
 		{"keyed, in another zone", lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second},
-			[]lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Broken},
+			[]lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Failed},
 		{"keyed, after its window", lg.Class{Effect: lg.Keyed, Memory: 10 * ms}, []lg.ServerID{1, 2},
-			func(g *guarded) { g.now += 20 * ms }, 1, sendguard.Repeated, Broken},
+			func(g *guarded) { g.now += 20 * ms }, 1, sendguard.Repeated, Failed},
 		{"safe, any number of times", lg.Class{Effect: lg.Safe}, []lg.ServerID{1, 2, 3}, nil, 3, sendguard.None,
-			Broken},
+			Failed},
 	} {
 		tc.class.Aim, tc.class.Deadline, tc.class.Worth = time.Second, time.Second, 1
 		cfg := testConfig()
@@ -101,14 +101,14 @@
 		for id := lg.ServerID(1); id <= 3; id++ {
 			list.Servers = append(list.Servers, lg.Server{ID: id, Zone: int(id) % 2, Weight: 1})
 		}
-		g.step(ListTold{List: list})
-		g.step(CallerOpened{Leg: 1})
-		g.step(CallerAsked{Leg: 1, Name: "r", Deadline: g.now + time.Second, Payload: 1})
+		g.step(ListReceived{List: list})
+		g.step(ClientOpened{Conn: 1})
+		g.step(RequestReceived{Conn: 1, Name: "r", Deadline: g.now + time.Second, Payload: 1})
 		for range tc.servers {
 			if tc.between != nil {
 				tc.between(g)
 			}
-			g.step(HopClosed{Leg: g.last})
+			g.step(ServerClosed{Conn: g.last})
 		}
 		if len(g.forwards) != tc.forwards {
 			t.Errorf("%s: sent to %v, want %d times", tc.name, g.forwards, tc.forwards)
@@ -138,8 +138,8 @@
 			t.Fatal(err)
 		}
 		s.Step(time.Hour, listOf(lg.FullList, lg.Ready, 1))
-		s.Step(time.Hour, CallerOpened{Leg: 1})
-		s.Step(time.Hour, CallerAsked{Leg: 1, Name: "r", Deadline: time.Hour + time.Second, Payload: 1})
+		s.Step(time.Hour, ClientOpened{Conn: 1})
+		s.Step(time.Hour, RequestReceived{Conn: 1, Name: "r", Deadline: time.Hour + time.Second, Payload: 1})
 		forwards := func(ev Event) (n int) {
 			for _, e := range s.Step(time.Hour+10*ms, ev) {
 				if e.Do == Forward {
@@ -148,15 +148,15 @@
 			}
 			return n
 		}
-		if n := forwards(HopDialed{Leg: 1, OK: true}); n != 1 {
+		if n := forwards(ServerDialed{Conn: 1, OK: true}); n != 1 {
 			t.Fatalf("sent %d times", n)
 		}
 		want := 1
 		if left {
-			forwards(CallerClosed{Leg: 1})
+			forwards(ClientClosed{Conn: 1})
 			want = 0
 		}
-		if n := forwards(HopUnsent{Leg: 1}); n != want {
+		if n := forwards(RequestUnsent{Conn: 1}); n != want {
 			t.Errorf("left %t: sent %d times more, want %d", left, n, want)
 		}
 		if _, open := s.names["r"]; open == left {
--- a/internal/reducer/hops.go
+++ b/internal/reducer/hops.go
@@ -78,18 +78,18 @@
 		}
 		switch a.Do {
 		case pool.Open:
-			id := LegID(a.Leg.ID)
+			id := ConnID(a.Leg.ID)
 			s.legs[id] = &hopLeg{Leg: a.Leg}
 			by := s.now + s.cfg.Settings.ConnectTimeout
 			if a.Ticket != nil {
 				by = s.dialBy(a.Ticket)
 			}
-			s.do(Effect{Do: Dial, Leg: id, Server: a.Leg.Hop.ID, At: by})
+			s.do(Effect{Do: Dial, Conn: id, Server: a.Leg.Hop.ID, At: by})
 		case pool.Close:
-			s.do(Effect{Do: CloseHop, Leg: LegID(a.Leg.ID)})
-			delete(s.legs, LegID(a.Leg.ID))
+			s.do(Effect{Do: CloseServerConn, Conn: ConnID(a.Leg.ID)})
+			delete(s.legs, ConnID(a.Leg.ID))
 		case pool.Give:
-			s.forward(s.legs[LegID(a.Leg.ID)], a.Ticket)
+			s.forward(s.legs[ConnID(a.Leg.ID)], a.Ticket)
 		case pool.Refuse:
 			result := lg.ConnectFailed
 			if a.Local {
@@ -123,13 +123,13 @@
 		s.end(b, lg.ConnectFailed, lg.LoadReport{})
 		return
 	}
-	if s.expired() && !s.cfg.Unguarded { // while it waited for its connection
+	if s.expired() && !s.cfg.SkipSendChecks { // while it waited for its connection
 		s.list.withheld++
 		s.pool.Unused(s.now, l.Leg)
 		s.end(b, lg.Moot, lg.LoadReport{})
 		return
 	}
-	if rule := sendguard.Check(s.attempt(b)); rule != sendguard.None && !s.cfg.Unguarded {
+	if rule := sendguard.Check(s.attempt(b)); rule != sendguard.None && !s.cfg.SkipSendChecks {
 		s.violated(rule, b.req)
 		s.pool.Unused(s.now, l.Leg)
 		s.end(b, lg.Moot, lg.LoadReport{})
@@ -141,11 +141,11 @@
 	if r := b.req; r.stream && r.whole == 0 {
 		at = s.now + r.may // counted from its last byte: as long as an answer may take
 	}
-	e := Effect{Do: Forward, Leg: LegID(l.ID), Client: b.req.caller.id, Payload: b.req.payload, At: at,
-		Begin: b.begin}
+	e := Effect{Do: Forward, Conn: ConnID(l.ID), Client: b.req.caller.id, Payload: b.req.payload, At: at,
+		StartBy: b.begin}
 	if s.work != nil {
-		if until := s.work.set.Until(l.Hop.ID); until > 0 && (e.Begin == 0 || until < e.Begin) {
-			e.Begin = until
+		if until := s.work.set.Until(l.Hop.ID); until > 0 && (e.StartBy == 0 || until < e.StartBy) {
+			e.StartBy = until
 		}
 	}
 	s.do(e)
@@ -217,13 +217,13 @@
 	s.drop(l)
 }
 
-func (s *State) dialed(ev HopDialed) {
-	l := s.legs[ev.Leg]
+func (s *State) dialed(ev ServerDialed) {
+	l := s.legs[ev.Conn]
 	if l == nil || !l.Opening() {
 		return
 	}
 	if !ev.OK {
-		delete(s.legs, ev.Leg)
+		delete(s.legs, ev.Conn)
 	}
 	if s.cfg.Trace != nil {
 		s.trace("D %d %x %t", l.ID, uint64(l.Hop.ID), ev.OK)
@@ -234,7 +234,7 @@
 
 // unsent takes back an attempt of which nothing was written, on a leg that is as good as before: its client
 // had left, or too much time had passed since it was decided. It is decided anew.
-func (s *State) unsent(id LegID) {
+func (s *State) unsent(id ConnID) {
 	l := s.legs[id]
 	if l == nil || l.phase != hopWriting {
 		return
@@ -260,7 +260,7 @@
 }
 
 // unfit drops a leg on which nothing could be written; its branch gets another.
-func (s *State) unfit(id LegID) {
+func (s *State) unfit(id ConnID) {
 	l := s.legs[id]
 	if l == nil || l.phase != hopWriting {
 		return
@@ -271,8 +271,8 @@
 	s.reassign(b)
 }
 
-func (s *State) hopWritten(ev HopWritten) {
-	l := s.legs[ev.Leg]
+func (s *State) hopWritten(ev RequestWritten) {
+	l := s.legs[ev.Conn]
 	if l != nil && l.phase == hopStreaming && ev.OK {
 		l.keep = true
 		s.counts.tries++
@@ -281,7 +281,7 @@
 		return
 	}
 	if l.branch != nil {
-		l.branch.req.gone = l.branch.req.gone || ev.Gone
+		l.branch.req.gone = l.branch.req.gone || ev.BodyConsumed
 	}
 	if ev.OK && l.branch != nil {
 		l.branch.req.reached = true
@@ -304,8 +304,8 @@
 	}
 }
 
-func (s *State) answered(ev HopAnswered) {
-	l := s.legs[ev.Leg]
+func (s *State) answered(ev ServerAnswered) {
+	l := s.legs[ev.Conn]
 	if l == nil || l.phase != hopWriting && l.phase != hopWaiting {
 		if l != nil && l.Idle() {
 			s.drop(l) // an answer that nobody asked for
@@ -313,11 +313,11 @@
 		return
 	}
 	if b := l.branch; b != nil {
-		b.req.gone = b.req.gone || ev.Gone
+		b.req.gone = b.req.gone || ev.BodyConsumed
 		if ev.Result == lg.OK {
 			s.finish(b.req, Effect{Verdict: Served, Payload: ev.Payload})
 		}
-		if ev.Result == lg.Full && !ev.Keep {
+		if ev.Result == lg.Full && !ev.Reusable {
 			s.pool.Capped(s.now, l.Leg)
 		}
 		s.end(b, ev.Result, ev.Load)
@@ -325,16 +325,16 @@
 	// Guards against a leg that can't be used again and counts as one of its next hop's until all of a request
 	// that is answered already has been written.
 	switch {
-	case l.phase == hopWriting && ev.Keep:
+	case l.phase == hopWriting && ev.Reusable:
 		l.phase, l.keep = hopEarly, true
-	case ev.Keep:
+	case ev.Reusable:
 		s.release(l)
 	default:
 		s.drop(l)
 	}
 }
 
-func (s *State) hopClosed(id LegID) {
+func (s *State) hopClosed(id ConnID) {
 	l := s.legs[id]
 	if l == nil {
 		return
--- a/internal/reducer/list.go
+++ b/internal/reducer/list.go
@@ -46,9 +46,9 @@
 }
 
 // told takes in the server list's news and goes on watching.
-func (s *State) told(ev ListTold) {
+func (s *State) told(ev ListReceived) {
 	list := ev.List
-	if list.Kind == lg.CachedList && s.pushed() && !s.list.confirmed && s.now < s.cfg.Confirm {
+	if list.Kind == lg.CachedList && s.pushed() && !s.list.confirmed && s.now < s.cfg.ConfirmTimeout {
 		s.list.old = &list // guards against sending by a list that counts as outdated from the first moment
 		return
 	}
@@ -95,7 +95,7 @@
 
 // called takes in the end of a call for the list, if it is one, and has the next one made in time. The
 // decision module hears of no call that failed: how calls follow each other is settled here alone.
-func (s *State) called(ev ListTold) {
+func (s *State) called(ev ListReceived) {
 	switch {
 	case ev.List.Kind == lg.CachedList || ev.Late:
 		s.firstCall()
@@ -110,8 +110,8 @@
 		s.log(s.list.answered(s.now))
 		quiet := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
 		full := ev.List.Kind == lg.FullList || ev.Complete
-		s.clock.add(s.list.Answered(s.now, listcalls.Answer{Whole: full, Quiet: quiet, Known: !ev.Whole,
-			Work: ev.Work}), s.watch)
+		s.clock.add(s.list.Answered(s.now, listcalls.Answer{Whole: full, Quiet: quiet, Known: !ev.NextFull,
+			Work: ev.ProcessingTime}), s.watch)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (s *State) unconfirmed() {
 	if old := s.list.old; old != nil && !s.list.confirmed {
 		s.list.old = nil
-		s.told(ListTold{List: *old})
+		s.told(ListReceived{List: *old})
 	}
 	s.readiness()
 }
@@ -153,7 +153,7 @@
 	if s.cfg.Trace != nil {
 		s.trace("W %s anew %t", s.cfg.Discovery, c.Anew)
 	}
-	s.do(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + c.Wait, GiveUp: c.GiveUp, Anew: c.Anew})
+	s.do(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + c.Wait, GiveUpAt: c.GiveUp, NewConn: c.Anew})
 	s.clock.add(c.GiveUp, func() { s.silent(c.Number) })
 }
 
--- a/internal/reducer/list_test.go
+++ b/internal/reducer/list_test.go
@@ -49,7 +49,7 @@
 // next goes on until a call is made, and returns after how long; far beyond all times when none is.
 func (l *lister) next(ev Event) (after time.Duration, e Effect) {
 	began := l.now
-	for calls := l.calls(ev); ; calls = l.calls(Woken{}) {
+	for calls := l.calls(ev); ; calls = l.calls(TimerFired{}) {
 		if len(calls) > 1 {
 			l.Fatalf("%d calls at once", len(calls))
 		}
@@ -70,15 +70,15 @@
 	return Effect{}
 }
 
-func listOf(kind lg.ListKind, state lg.State, ids ...lg.ServerID) ListTold {
+func listOf(kind lg.ListKind, state lg.State, ids ...lg.ServerID) ListReceived {
 	list := lg.List{Kind: kind}
 	for _, id := range ids {
 		list.Servers = append(list.Servers, lg.Server{ID: id, State: state, Weight: 1})
 	}
-	return ListTold{List: list}
+	return ListReceived{List: list}
 }
 
-var failedCall = ListTold{List: lg.List{Kind: lg.ListFailed}}
+var failedCall = ListReceived{List: lg.List{Kind: lg.ListFailed}}
 
 // TestSilentWatch covers the one clock of a watch: what it misses counts as told 2 s after its wait, so the
 // next one is open well before that, on a connection of its own, each time. It does not wait for news: two in
@@ -94,16 +94,16 @@
 			if i > 0 { // what follows a call that fell silent asks whether discovery answers at all
 				least, most = time.Second, 5*time.Second
 			}
-			after, e := l.next(Woken{})
-			if after < least || after > most || !e.Anew {
-				t.Errorf("asking %t, miss %d: asked again after %v, anew %t; wait %v", ask, i, after, e.Anew, wait)
+			after, e := l.next(TimerFired{})
+			if after < least || after > most || !e.NewConn {
+				t.Errorf("asking %t, miss %d: asked again after %v, anew %t; wait %v", ask, i, after, e.NewConn, wait)
 			}
 			if e.At-l.now != 0 {
 				t.Errorf("asking %t, miss %d: the next call may wait %v for news", ask, i, e.At-l.now)
 			}
 		}
-		if after, e := l.next(listOf(lg.Changes, lg.Draining, 1)); after > 200*ms || e.Anew {
-			t.Errorf("asking %t: after an answer asked after %v, anew %t", ask, after, e.Anew)
+		if after, e := l.next(listOf(lg.Changes, lg.Draining, 1)); after > 200*ms || e.NewConn {
+			t.Errorf("asking %t: after an answer asked after %v, anew %t", ask, after, e.NewConn)
 		}
 	}
 }
@@ -114,17 +114,17 @@
 func TestSilentWholeList(t *testing.T) {
 	for name, begin := range map[string]func(*lister){
 		"first": func(l *lister) {
-			l.next(ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
+			l.next(ListReceived{List: lg.List{Kind: lg.CachedList}, NextFull: true})
 		},
 		"moved": func(l *lister) {
 			l.next(listOf(lg.CachedList, lg.Ready, 1))
 			l.next(listOf(lg.FullList, lg.Ready, 1))
-			l.next(Reloaded{Discovery: "other", MaxCallers: 9, MaxHops: 9})
+			l.next(Reloaded{Discovery: "other", MaxClients: 9, MaxServerConns: 9})
 		},
 		"unread": func(l *lister) {
 			l.next(listOf(lg.CachedList, lg.Ready, 1))
 			l.next(listOf(lg.FullList, lg.Ready, 1))
-			l.next(ListTold{List: lg.List{Kind: lg.ListFailed}, Whole: true})
+			l.next(ListReceived{List: lg.List{Kind: lg.ListFailed}, NextFull: true})
 		},
 	} {
 		l := newLister(t, func(cfg *Config) {
@@ -135,8 +135,8 @@
 			t.Fatalf("%s: no call is out", name)
 		}
 		for i := range 3 {
-			if after, e := l.next(Woken{}); after > 5*time.Second || !e.Anew {
-				t.Errorf("%s, miss %d: asked again after %v, anew %t", name, i, after, e.Anew)
+			if after, e := l.next(TimerFired{}); after > 5*time.Second || !e.NewConn {
+				t.Errorf("%s, miss %d: asked again after %v, anew %t", name, i, after, e.NewConn)
 			}
 		}
 		l.next(listOf(lg.FullList, lg.Ready, 1))
@@ -221,7 +221,7 @@
 		if tc.second {
 			after, e = l.next(failedCall)
 		}
-		if after < tc.least || after > tc.most || e.Anew {
+		if after < tc.least || after > tc.most || e.NewConn {
 			t.Errorf("%+v: asked again after %v", tc, after)
 		}
 	}
@@ -233,14 +233,14 @@
 func TestPushedListCountsFromTheStart(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		l := newLister(t, func(cfg *Config) {
-			cfg.Settings.AskForList, cfg.Confirm = false, time.Hour+3*time.Second
+			cfg.Settings.AskForList, cfg.ConfirmTimeout = false, time.Hour+3*time.Second
 		})
 		if calls := l.calls(listOf(lg.CachedList, lg.Ready, 1)); len(calls) != 1 {
 			t.Fatalf("%d calls at the start", len(calls))
 		}
-		ask := func(leg LegID) {
-			l.calls(CallerOpened{leg})
-			l.calls(CallerAsked{Leg: leg, Name: string(rune('a' + leg)), Deadline: l.now + 800*ms})
+		ask := func(leg ConnID) {
+			l.calls(ClientOpened{leg})
+			l.calls(RequestReceived{Conn: leg, Name: string(rune('a' + leg)), Deadline: l.now + 800*ms})
 		}
 		ask(1)
 		if l.out > 0 || l.s.Ready() {
@@ -256,7 +256,7 @@
 		} else {
 			l.calls(failedCall)
 			l.now = time.Hour + 3*time.Second
-			l.calls(Woken{})
+			l.calls(TimerFired{})
 		}
 		if ask(3); l.out == 0 || !l.s.Ready() {
 			t.Errorf("discovery answers %t: nothing is sent", answers)
@@ -270,7 +270,7 @@
 	l := newLister(t, nil)
 	l.next(listOf(lg.CachedList, lg.Ready, 1))
 	l.next(listOf(lg.FullList, lg.Ready, 1))
-	l.next(Woken{}) // it has fallen silent: another one is out
+	l.next(TimerFired{}) // it has fallen silent: another one is out
 	late := listOf(lg.Changes, lg.Draining, 1)
 	if late.Late = true; len(l.calls(late)) != 0 || !l.s.list.Out() || l.s.Ready() {
 		t.Errorf("watching %t, ready by a server that drains %t", l.s.list.Out(), l.s.Ready())
--- a/internal/reducer/listcalls_test.go
+++ b/internal/reducer/listcalls_test.go
@@ -29,16 +29,16 @@
 		}
 	}
 	m.s.act(lg.Action{Do: lg.Subscribe})
-	if m.now += 3500 * ms; len(calls(Woken{})) != 0 {
+	if m.now += 3500 * ms; len(calls(TimerFired{})) != 0 {
 		t.Error("asked while a call is out")
 	}
 	m.now += 2 * time.Second
-	if got := calls(Woken{}); !slices.Equal(got, []string{"b"}) || !m.s.effects[slices.IndexFunc(m.s.effects,
-		func(e Effect) bool { return e.Do == Watch })].Anew {
+	if got := calls(TimerFired{}); !slices.Equal(got, []string{"b"}) ||
+		!m.s.effects[slices.IndexFunc(m.s.effects, func(e Effect) bool { return e.Do == Watch })].NewConn {
 		t.Errorf("asked at %q where no whole list had come 2 s after it should have", got)
 	}
 	m.now += 100 * ms
-	if got := calls(ListTold{}); !slices.Equal(got, []string{"b"}) {
+	if got := calls(ListReceived{}); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("asked at %q after an answer", got)
 	}
 }
@@ -69,20 +69,20 @@
 			}
 			return at
 		}
-		began := asked(ListTold{List: lg.List{Kind: lg.CachedList, Servers: []lg.Server{{ID: 1}}}})
+		began := asked(ListReceived{List: lg.List{Kind: lg.CachedList, Servers: []lg.Server{{ID: 1}}}})
 		call := func() {
 			for ; began == 0 && now < 2*time.Hour; now += 10 * ms {
-				began = asked(Woken{})
+				began = asked(TimerFired{})
 			}
 		}
 		if call(); tc.failed {
-			began = asked(ListTold{List: lg.List{Kind: lg.ListFailed}})
+			began = asked(ListReceived{List: lg.List{Kind: lg.ListFailed}})
 			call()
 		}
 		now = began + tc.took
-		at := asked(ListTold{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}}}})
+		at := asked(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}}}})
 		for ; at == 0 && now < 2*time.Hour; now += 10 * ms {
-			at = asked(Woken{})
+			at = asked(TimerFired{})
 		}
 		if got := at - began - tc.want; got < -tc.took || got > 20*ms+tc.took {
 			t.Errorf("%d proxies, %v a list: asked again after %v, want %v", tc.proxies, tc.took, at-began, tc.want)
--- a/internal/reducer/listlog.go
+++ b/internal/reducer/listlog.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func (l *listLog) figures(now time.Duration) ListFigures {
-	return ListFigures{Heard: l.heard, Unheard: l.age(now), LongestUnsent: l.gap, Failed: l.failed,
-		Outdated: l.outdated, Lapses: l.lapses, Withheld: l.withheld}
+func (l *listLog) figures(now time.Duration) ListMetrics {
+	return ListMetrics{Received: l.heard, SinceAnswer: l.age(now), LongestPause: l.gap, FailedCalls: l.failed,
+		OutdatedAttempts: l.outdated, LeaseExpirations: l.lapses, WithheldAttempts: l.withheld}
 }
--- a/internal/reducer/listlog_test.go
+++ b/internal/reducer/listlog_test.go
@@ -27,7 +27,7 @@
 	})
 	l.next(listOf(lg.CachedList, lg.Ready, 1))
 	l.next(listOf(lg.FullList, lg.Ready, 1))
-	if got := l.s.list.figures(l.now); !got.Heard || got.Failed != 0 {
+	if got := l.s.list.figures(l.now); !got.Received || got.FailedCalls != 0 {
 		t.Errorf("before: %+v", got)
 	}
 	heard := l.now
@@ -40,7 +40,7 @@
 		t.Errorf("logged %q, want %q", l.lines.String(), want)
 	}
 	got := l.s.list.figures(l.now)
-	if got.Failed != 1 || got.LongestUnsent != paused || (got.Unheard-(l.now-heard)).Abs() > 200*ms {
+	if got.FailedCalls != 1 || got.LongestPause != paused || (got.SinceAnswer-(l.now-heard)).Abs() > 200*ms {
 		t.Errorf("while it fails: %+v, paused %v", got, paused)
 	}
 	l.next(failedCall)
@@ -49,7 +49,7 @@
 	if !strings.Contains(l.logged(), "answers again") || !strings.Contains(l.logged(), "2 failed") {
 		t.Errorf("logged %q", l.logged())
 	}
-	if got := l.s.list.figures(l.now); got.Failed != 0 || got.Unheard != 0 {
+	if got := l.s.list.figures(l.now); got.FailedCalls != 0 || got.SinceAnswer != 0 {
 		t.Errorf("after: %+v", got)
 	}
 }
--- a/internal/reducer/model_test.go
+++ b/internal/reducer/model_test.go
@@ -11,19 +11,20 @@
 const ms = time.Millisecond
 
 func testConfig() Config {
-	return Config{Figures: true, MaxCallers: 12, MaxHops: 8, IdleHops: time.Second, Settings: lg.Settings{
-		Balancers: 1, Zones: 1, MaxAttempts: 4, AskForList: true, AskEvery: 5 * time.Second,
-		ConnectTimeout: 200 * ms, MaxRetryAfter: time.Second, WarmWithin: time.Second, ColdShare: 0.5,
-		TipWindow: time.Second, Report: []lg.LoadField{lg.LoadInFlight},
-		Classes: []lg.Class{
-			{Name: "edit", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5, Effect: lg.Unsafe},
-			{Name: "upload", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 15, Effect: lg.Keyed,
-				Group: lg.GroupZone, Memory: 1200 * ms}}}}
+	return Config{PublishMetrics: true, MaxClients: 12, MaxServerConns: 8, ServerIdleTimeout: time.Second,
+		Settings: lg.Settings{
+			Balancers: 1, Zones: 1, MaxAttempts: 4, AskForList: true, AskEvery: 5 * time.Second,
+			ConnectTimeout: 200 * ms, MaxRetryAfter: time.Second, WarmWithin: time.Second, ColdShare: 0.5,
+			TipWindow: time.Second, Report: []lg.LoadField{lg.LoadInFlight},
+			Classes: []lg.Class{
+				{Name: "edit", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5, Effect: lg.Unsafe},
+				{Name: "upload", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 15, Effect: lg.Keyed,
+					Group: lg.GroupZone, Memory: 1200 * ms}}}}
 }
 
 // call is a request as the model sees it.
 type call struct {
-	leg      LegID
+	leg      ConnID
 	class    int
 	deadline time.Duration
 	out      bool // a branch of it is on a hop leg
@@ -52,18 +53,18 @@
 	s        *State
 	now      time.Duration
 	armed    time.Duration
-	callers  map[LegID]*call // nil: idle
-	writing  map[LegID]bool  // answers being written, and whether they are the last
-	flooding map[LegID]bool  // sent too far ahead
-	hops     map[LegID]*hopModel
+	callers  map[ConnID]*call // nil: idle
+	writing  map[ConnID]bool  // answers being written, and whether they are the last
+	flooding map[ConnID]bool  // sent too far ahead
+	hops     map[ConnID]*hopModel
 	state    map[lg.ServerID]lg.State
 	calls    []*call
-	next     LegID
+	next     ConnID
 	stopped  bool
 	done     bool
-	figures  *Figures
-	easing   []LegID
-	parted   map[LegID]bool
+	figures  *Metrics
+	easing   []ConnID
+	parted   map[ConnID]bool
 	last     bool // the proxy asks who has connected
 	lasts    int  // callers that come at that moment
 	flows    map[*call]bool
@@ -75,9 +76,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, s: s, now: time.Hour, callers: map[LegID]*call{}, writing: map[LegID]bool{},
-		flooding: map[LegID]bool{}, flows: map[*call]bool{}, parted: map[LegID]bool{},
-		hops: map[LegID]*hopModel{}, state: map[lg.ServerID]lg.State{}}
+	m := &model{t: t, s: s, now: time.Hour, callers: map[ConnID]*call{}, writing: map[ConnID]bool{},
+		flooding: map[ConnID]bool{}, flows: map[*call]bool{}, parted: map[ConnID]bool{},
+		hops: map[ConnID]*hopModel{}, state: map[lg.ServerID]lg.State{}}
 	m.routes(lg.CachedList, lg.Ready, 1, 2, 3)
 	m.routes(lg.FullList, lg.Ready, 1, 2, 3)
 	return m
@@ -89,7 +90,7 @@
 		m.state[id] = state
 		list.Servers = append(list.Servers, lg.Server{ID: id, State: state, Weight: 1})
 	}
-	m.step(ListTold{List: list})
+	m.step(ListReceived{List: list})
 }
 
 func (m *model) step(ev Event) {
@@ -100,7 +101,7 @@
 	for len(m.easing) > 0 {
 		leg := m.easing[0]
 		m.easing = m.easing[1:]
-		m.step(CallerQuiet{leg})
+		m.step(ClientIdleConfirmed{leg})
 	}
 	if m.last {
 		if m.last = false; m.lasts > 0 {
@@ -109,7 +110,7 @@
 			m.open(m.next)
 			m.ask(m.next, 0)
 		}
-		m.step(CallersTold{})
+		m.step(AcceptQueueDrained{})
 	}
 }
 
@@ -117,18 +118,18 @@
 func (m *model) see(e Effect) {
 	m.t.Helper()
 	switch e.Do {
-	case AnswerCaller:
-		c, known := m.callers[e.Leg]
-		if _, twice := m.writing[e.Leg]; !known || twice {
-			m.t.Fatalf("an answer on leg %d, which is gone or being written to", e.Leg)
+	case AnswerClient:
+		c, known := m.callers[e.Conn]
+		if _, twice := m.writing[e.Conn]; !known || twice {
+			m.t.Fatalf("an answer on leg %d, which is gone or being written to", e.Conn)
 		}
 		if m.stopped && !e.Last {
 			m.t.Fatal("a leg kept open by an answer after the stop began")
 		}
-		if m.flooding[e.Leg] && !e.Last {
+		if m.flooding[e.Conn] && !e.Last {
 			m.t.Fatal("a leg kept open whose caller sent too far ahead")
 		}
-		m.writing[e.Leg] = e.Last
+		m.writing[e.Conn] = e.Last
 		if c == nil {
 			return
 		}
@@ -139,30 +140,30 @@
 		if c.stream && !c.whole && !e.Last {
 			m.t.Fatal("a leg kept open on which the rest of a request comes")
 		}
-		if e.Verdict == Busy && (c.mayRun || c.out) {
+		if e.Verdict == Rejected && (c.mayRun || c.out) {
 			m.t.Fatal("refused, though it may have run")
 		}
-	case CloseCaller:
-		if c, ok := m.callers[e.Leg]; !ok {
-			m.t.Fatalf("caller leg %d closed twice", e.Leg)
+	case CloseClientConn:
+		if c, ok := m.callers[e.Conn]; !ok {
+			m.t.Fatalf("caller leg %d closed twice", e.Conn)
 		} else if c == nil {
 			m.t.Fatal("an idle leg closed on which something may have come")
 		} else if c != nil && c.answers == 0 {
 			m.t.Fatal("a leg closed with its request unanswered")
 		}
-		m.forget(e.Leg)
+		m.forget(e.Conn)
 	case Dial:
-		if m.hops[e.Leg] = (&hopModel{server: e.Server}); len(m.hops) > m.s.cfg.MaxHops {
+		if m.hops[e.Conn] = (&hopModel{server: e.Server}); len(m.hops) > m.s.cfg.MaxServerConns {
 			m.t.Fatalf("%d hop legs", len(m.hops))
 		}
 		if m.state[e.Server] != lg.Ready {
 			m.t.Fatal("dialed a next hop that takes nothing new")
 		}
 	case Forward:
-		h, c := m.hops[e.Leg], e.Payload.(*call)
+		h, c := m.hops[e.Conn], e.Payload.(*call)
 		switch {
 		case h == nil || !h.open || h.busy != nil || h.feeds != nil:
-			m.t.Fatalf("forwarded on leg %d, which is closed or busy", e.Leg)
+			m.t.Fatalf("forwarded on leg %d, which is closed or busy", e.Conn)
 		case c.out || c.answers > 0 || c.left:
 			m.t.Fatal("a second branch, or one after the answer, or for nobody")
 		case c.gone:
@@ -180,28 +181,28 @@
 			c.ranAt = m.now
 		}
 		h.busy, h.written, c.out = c, false, true
-	case CloseHop:
-		h := m.hops[e.Leg]
+	case CloseServerConn:
+		h := m.hops[e.Conn]
 		if h == nil {
-			m.t.Fatalf("hop leg %d closed twice", e.Leg)
+			m.t.Fatalf("hop leg %d closed twice", e.Conn)
 		}
 		if h.busy != nil {
 			h.busy.out, h.busy.mayRun = false, true
 		}
-		delete(m.hops, e.Leg)
-	case Arm:
+		delete(m.hops, e.Conn)
+	case ArmTimer:
 		m.armed = e.At
-	case EaseCaller:
-		if c := m.callers[e.Leg]; c != nil {
+	case CheckClientIdle:
+		if c := m.callers[e.Conn]; c != nil {
 			m.t.Fatal("a leg let go that is owed an answer")
 		}
-		m.easing = append(m.easing, e.Leg)
-	case PartCaller:
-		if m.callers[e.Leg] == nil {
-			m.callers[e.Leg] = &call{leg: e.Leg, answers: 1}
+		m.easing = append(m.easing, e.Conn)
+	case CloseClientWrite:
+		if m.callers[e.Conn] == nil {
+			m.callers[e.Conn] = &call{leg: e.Conn, answers: 1}
 		}
-		m.parted[e.Leg] = true
-	case TellCallers:
+		m.parted[e.Conn] = true
+	case DrainAcceptQueue:
 		m.last = true
 	case Finish:
 		m.done = true
@@ -211,7 +212,7 @@
 			}
 		}
 	case Publish:
-		m.figures = e.Payload.(*Figures)
+		m.figures = e.Payload.(*Metrics)
 	}
 }
 
@@ -222,7 +223,7 @@
 	for m.s.counts.due { // what is published is not the newest
 		m.pass(publishEvery / 4)
 	}
-	open, want := 0, []Handled{{Class: "edit"}, {Class: "upload"}}
+	open, want := 0, []RequestCounts{{Class: "edit"}, {Class: "upload"}}
 	for _, c := range m.calls {
 		switch w := &want[c.class]; {
 		case c.answers == 0 && !c.left, m.flows[c]:
@@ -231,20 +232,21 @@
 			w.BadGateway++
 		case c.answers > 0 && c.verdict == Served:
 			w.Passed++
-		case c.answers > 0 && c.verdict == Busy:
+		case c.answers > 0 && c.verdict == Rejected:
 			w.Dropped++
 		default:
 			w.BadGateway++
 		}
 	}
-	if !slices.Equal(m.figures.Handled, want) || m.figures.InProgress != open || m.figures.Tries != m.tries ||
+	if !slices.Equal(m.figures.Handled, want) || m.figures.InProgress != open ||
+		m.figures.RequestsWritten != m.tries ||
 		m.s.counts.taken != uint64(len(m.calls)) {
 		m.t.Fatalf("figures %+v, want %+v, %d in progress and %d tries", m.figures, want, open, m.tries)
 	}
 }
 
 // flowed ends an answer that was passed on, if it was, and tells whether its hop leg is kept.
-func (m *model) flowed(leg LegID, ok, keep bool) bool {
+func (m *model) flowed(leg ConnID, ok, keep bool) bool {
 	c := m.callers[leg]
 	if c == nil || !m.flows[c] {
 		return false
@@ -259,7 +261,7 @@
 	return ok && keep
 }
 
-func (m *model) forget(leg LegID) {
+func (m *model) forget(leg ConnID) {
 	m.flowed(leg, false, false)
 	if c := m.callers[leg]; c != nil {
 		c.left = true
@@ -270,7 +272,7 @@
 }
 
 // kept tells whether a caller leg is there and not ended by the proxy.
-func (m *model) kept(leg LegID) bool {
+func (m *model) kept(leg ConnID) bool {
 	_, there := m.callers[leg]
 	return there && !m.parted[leg]
 }
@@ -280,7 +282,7 @@
 	m.t.Helper()
 	for end := m.now + by; m.now < end; {
 		m.now = min(end, max(m.now, m.armed))
-		m.step(Woken{})
+		m.step(TimerFired{})
 	}
 	if len(m.s.legs) != len(m.hops) || len(m.s.callers) != len(m.callers) {
 		m.t.Fatalf("%d hop legs remembered of %d, %d caller legs of %d", len(m.s.legs), len(m.hops),
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -37,9 +37,9 @@
 	*testing.T
 	s        *State
 	now      time.Duration
-	client   LegID // on which the next request comes
+	client   ConnID // on which the next request comes
 	forwards int
-	dials    []LegID       // that are held up
+	dials    []ConnID      // that are held up
 	holds    bool          // dials are held up
 	out      bool          // a call for the list is out,
 	began    time.Duration // since then
@@ -96,17 +96,18 @@
 	switch e.Do {
 	case Watch:
 		o.out, o.began, o.wait = true, o.now, e.At-o.now
-		return []Event{ListReached{}} // the service takes the connection, whether or not it answers
+		return []Event{ListConnected{}} // the service takes the connection, whether or not it answers
 	case Dial:
 		if !o.holds {
-			return []Event{HopDialed{Leg: e.Leg, OK: true}}
+			return []Event{ServerDialed{Conn: e.Conn, OK: true}}
 		}
-		o.dials = append(o.dials, e.Leg)
+		o.dials = append(o.dials, e.Conn)
 	case Forward:
 		o.forwards++
-		return []Event{HopWritten{Leg: e.Leg, OK: true}, HopAnswered{Leg: e.Leg, Result: lg.OK, Keep: true}}
-	case AnswerCaller:
-		return []Event{CallerWritten{Leg: e.Leg, OK: true}}
+		return []Event{RequestWritten{Conn: e.Conn, OK: true},
+			ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}}
+	case AnswerClient:
+		return []Event{ResponseWritten{Conn: e.Conn, OK: true}}
 	}
 	return nil
 }
@@ -115,7 +116,7 @@
 func (o *outage) pass(d time.Duration) {
 	for end := o.now + d; o.now < end; {
 		o.now = min(end, o.now+10*ms)
-		o.step(Woken{})
+		o.step(TimerFired{})
 	}
 }
 
@@ -138,9 +139,10 @@
 // that was open before: guards against timers that are late and run with the opening, ahead of the request.
 func (o *outage) request() int {
 	before, client := o.forwards, o.client
-	o.step(CallerAsked{Leg: client, Name: fmt.Sprint("r", client), Deadline: o.now + 2*time.Second, Payload: 1})
+	o.step(RequestReceived{Conn: client, Name: fmt.Sprint("r", client), Deadline: o.now + 2*time.Second,
+		Payload: 1})
 	if !o.holds {
-		o.step(CallerClosed{Leg: client})
+		o.step(ClientClosed{Conn: client})
 	}
 	o.connect()
 	return o.forwards - before
@@ -149,7 +151,7 @@
 // connect opens the client's connection for the next request.
 func (o *outage) connect() {
 	o.client++
-	o.step(CallerOpened{Leg: o.client})
+	o.step(ClientOpened{Conn: o.client})
 }
 
 // failTwice breaks the watch that is out and fails the call after it.
@@ -200,7 +202,7 @@
 			o.jump(900 * ms)
 			before := o.forwards
 			for _, leg := range o.dials {
-				o.step(HopDialed{Leg: leg, OK: true})
+				o.step(ServerDialed{Conn: leg, OK: true})
 			}
 			o.holds = false
 			if o.forwards != before {
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -12,9 +12,9 @@
 // it began with, also when its class is dropped or changed; one that begins later goes by the new ones.
 func TestRetune(t *testing.T) {
 	m := newModel(t)
-	for _, leg := range []LegID{1, 2} {
+	for _, leg := range []ConnID{1, 2} {
 		m.callers[leg] = nil
-		m.step(CallerOpened{leg})
+		m.step(ClientOpened{leg})
 	}
 	m.ask(1, 1)
 	old := m.s.cfg.Settings
@@ -23,17 +23,17 @@
 	set.Classes = []lg.Class{{Name: "new", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5}, old.Classes[0]}
 	set.Classes[1].Effect = lg.Safe
 	set = set.After(old)
-	m.step(Reloaded{Settings: &set, MaxCallers: 12, MaxHops: 8})
+	m.step(Reloaded{Settings: &set, MaxClients: 12, MaxServerConns: 8})
 	c := m.s.cfg.Settings.Classes
 	if set.Offered != 2 || len(c) != 4 || c[2] != old.Classes[0] || c[3] != old.Classes[1] {
 		t.Fatalf("classes %+v", c)
 	}
-	refused := func(leg LegID) int { // how often it is tried before it is refused
+	refused := func(leg ConnID) int { // how often it is tried before it is refused
 		for n := 0; ; n++ {
-			var hop LegID
+			var hop ConnID
 			for id, h := range m.hops {
 				if h.open = true; h.busy == nil {
-					m.step(HopDialed{Leg: id, OK: true})
+					m.step(ServerDialed{Conn: id, OK: true})
 				}
 				if h.busy != nil && h.busy.leg == leg {
 					hop = id
@@ -42,15 +42,15 @@
 			if hop == 0 {
 				return n
 			}
-			m.step(HopWritten{Leg: hop, OK: true})
+			m.step(RequestWritten{Conn: hop, OK: true})
 			m.end(hop, lg.Full, true)
 		}
 	}
-	if n := refused(1); n < 2 || m.calls[0].verdict != Busy {
+	if n := refused(1); n < 2 || m.calls[0].verdict != Rejected {
 		t.Errorf("the old request was tried %d times", n)
 	}
 	m.ask(2, 0)
-	if n := refused(2); n != 1 || m.calls[1].verdict != Busy {
+	if n := refused(2); n != 1 || m.calls[1].verdict != Rejected {
 		t.Errorf("the new request was tried %d times", n)
 	}
 	m.pass(publishEvery)
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -29,24 +29,24 @@
 
 // Config is what a State knows from its start on.
 type Config struct {
-	Settings   lg.Settings
-	Seed       uint64
-	MaxCallers int           // caller legs held at once
-	MaxHops    int           // hop legs held at once
-	IdleHops   time.Duration // an idle hop leg is closed after this at the latest
-	Discovery  string        // where to ask for the server list
-	Decider    Decider       // nil: the decision module
-	Pool       pool.Config   // the lab's; what is named above holds in any case
-	Trace      Tracer        // nil: none
-	Figures    bool          // publish figures
+	Settings          lg.Settings
+	Seed              uint64
+	MaxClients        int           // caller legs held at once
+	MaxServerConns    int           // hop legs held at once
+	ServerIdleTimeout time.Duration // an idle hop leg is closed after this at the latest
+	Discovery         string        // where to ask for the server list
+	Decider           Decider       // nil: the decision module
+	Pool              pool.Config   // the lab's; what is named above holds in any case
+	Trace             Tracer        // nil: none
+	PublishMetrics    bool          // publish figures
 	// Confirm: not ready before discovery has answered, or this time has come; 0: at once
-	Confirm time.Duration
+	ConfirmTimeout time.Duration
 	// Overlap: another process of this proxy holds its part of the hop legs until then; 0: there is none
-	Overlap time.Duration
+	OverlapUntil time.Duration
 	// Unguarded: attempts are sent whatever rule they break, for tests of the lab's judge
-	Unguarded bool
+	SkipSendChecks bool
 	// Work: machines are taken out for work by what Settled tells; nothing is sent before it told of a lease
-	Work bool
+	Maintenance bool
 }
 
 // Decider chooses the server, whether to try again and what to refuse: the decision module
@@ -65,12 +65,12 @@
 	todo     []lg.Event // for the Balancer
 	clock    clock
 	armed    time.Duration
-	callers  map[LegID]*caller
+	callers  map[ConnID]*caller
 	parting  int // of them, that get nothing more
 	requests map[lg.RequestID]*request
 	names    map[string]bool // of the requests
 	pool     *pool.Pool[*branch]
-	legs     map[LegID]*hopLeg
+	legs     map[ConnID]*hopLeg
 	lastID   lg.RequestID
 	list     listCalls
 	stopping bool
@@ -95,7 +95,7 @@
 )
 
 type caller struct {
-	id    LegID
+	id    ConnID
 	phase callerPhase
 	since time.Duration // start of the phase; of the leg, until it has asked
 	by    time.Duration // reading: when the request must be whole; 0: not known
@@ -116,7 +116,7 @@
 	class    int
 	unsafe   bool
 	caller   *caller // nil once it has left
-	count    *Handled
+	count    *RequestCounts
 	key      uint64        // 0: none
 	came     time.Duration // when it was told here
 	deadline time.Duration
@@ -179,28 +179,28 @@
 		}
 		bal = module
 	}
-	s := &State{cfg: cfg, bal: bal, callers: map[LegID]*caller{}, requests: map[lg.RequestID]*request{},
-		names: map[string]bool{}, legs: map[LegID]*hopLeg{}, places: map[lg.ServerID]sendguard.Place{}}
-	cfg.Pool.Most, cfg.Pool.Idle = cfg.MaxHops, cfg.IdleHops
+	s := &State{cfg: cfg, bal: bal, callers: map[ConnID]*caller{}, requests: map[lg.RequestID]*request{},
+		names: map[string]bool{}, legs: map[ConnID]*hopLeg{}, places: map[lg.ServerID]sendguard.Place{}}
+	cfg.Pool.Most, cfg.Pool.Idle = cfg.MaxServerConns, cfg.ServerIdleTimeout
 	s.pool = pool.New[*branch](cfg.Pool)
 	s.list = listCalls{Schedule: listcalls.New(listConfig(&s.cfg.Settings)), listLog: newListLog()}
 	s.clock.add(0, s.sweep)
-	if cfg.Confirm > 0 {
-		s.clock.add(cfg.Confirm, s.unconfirmed)
+	if cfg.ConfirmTimeout > 0 {
+		s.clock.add(cfg.ConfirmTimeout, s.unconfirmed)
 	}
 	if s.pushed() {
 		s.clock.add(0, s.watch)
 	}
-	if cfg.Overlap > 0 {
+	if cfg.OverlapUntil > 0 {
 		s.clock.add(0, s.share)
-		s.clock.add(cfg.Overlap, s.share)
+		s.clock.add(cfg.OverlapUntil, s.share)
 	}
-	if cfg.Work {
+	if cfg.Maintenance {
 		s.work = newWork()
 	}
-	s.counts.wanted = cfg.Figures
+	s.counts.wanted = cfg.PublishMetrics
 	s.countClasses(cfg.Settings)
-	if cfg.Figures {
+	if cfg.PublishMetrics {
 		s.clock.add(0, s.publish)
 	}
 	return s, nil
@@ -227,7 +227,7 @@
 	}
 	if at := s.clock.first(); at != s.armed { // the sweep is always due some time
 		s.armed = at
-		s.do(Effect{Do: Arm, At: at})
+		s.do(Effect{Do: ArmTimer, At: at})
 	}
 	return s.effects
 }
@@ -255,11 +255,11 @@
 		s.send(a)
 	case lg.Refuse:
 		if r := s.requests[a.Request]; r != nil {
-			s.finish(r, Effect{Verdict: Busy, Advice: a.For})
+			s.finish(r, Effect{Verdict: Rejected, RetryAfter: a.For})
 		}
 	case lg.Fail:
 		if r := s.requests[a.Request]; r != nil {
-			s.finish(r, Effect{Verdict: Broken})
+			s.finish(r, Effect{Verdict: Failed})
 		}
 	case lg.SetTimer:
 		s.clock.add(s.now+a.For, func() { s.tell(lg.Timer{Token: a.Token}) })
@@ -272,79 +272,79 @@
 
 func (s *State) take(ev Event) {
 	switch ev := ev.(type) {
-	case CallerOpened:
-		s.opened(ev.Leg)
-	case CallerReading:
-		if c := s.callers[ev.Leg]; c != nil && (c.phase == callerIdle || c.phase == callerReading) {
+	case ClientOpened:
+		s.opened(ev.Conn)
+	case ClientReading:
+		if c := s.callers[ev.Conn]; c != nil && (c.phase == callerIdle || c.phase == callerReading) {
 			s.reading(c, ev)
 		}
-	case CallerAsked:
+	case RequestReceived:
 		s.asked(ev)
-	case CallerWhole:
+	case RequestBodyComplete:
 		s.wholly(ev)
-	case CallerSpoilt:
+	case RequestBodyFailed:
 		s.spoilt(ev)
-	case HopBegins:
-		s.begins(ev.Leg)
-	case HopStreams:
+	case ResponseStarted:
+		s.begins(ev.Conn)
+	case ResponseStreaming:
 		s.streams(ev)
-	case CallerFaulty:
-		s.reply(ev.Leg, Effect{Verdict: Faulty, Payload: ev.Payload, Last: ev.Last})
-	case CallerFlooding:
-		if c := s.callers[ev.Leg]; c != nil {
+	case RequestInvalid:
+		s.reply(ev.Conn, Effect{Verdict: Invalid, Payload: ev.Payload, Last: ev.Last})
+	case ClientFlooding:
+		if c := s.callers[ev.Conn]; c != nil {
 			c.last = true
 		}
-	case CallerProbed:
+	case HealthChecked:
 		verdict := NotReady
 		if s.ready() {
 			verdict = ReadyNow
 		}
-		s.reply(ev.Leg, Effect{Verdict: verdict, Last: ev.Last})
-	case CallerWritten:
+		s.reply(ev.Conn, Effect{Verdict: verdict, Last: ev.Last})
+	case ResponseWritten:
 		s.callerWritten(ev)
-	case CallerClosed:
-		s.callerClosed(ev.Leg)
-	case HopDialed:
+	case ClientClosed:
+		s.callerClosed(ev.Conn)
+	case ServerDialed:
 		s.dialed(ev)
-	case HopWritten:
+	case RequestWritten:
 		s.hopWritten(ev)
-	case HopUnfit:
-		s.unfit(ev.Leg)
-	case HopUnsent:
-		s.unsent(ev.Leg)
-	case HopStray:
-		if l := s.legs[ev.Leg]; l != nil && l.Idle() {
+	case ServerConnUnusable:
+		s.unfit(ev.Conn)
+	case RequestUnsent:
+		s.unsent(ev.Conn)
+	case UnexpectedServerData:
+		if l := s.legs[ev.Conn]; l != nil && l.Idle() {
 			s.drop(l)
 		} else if l != nil {
 			l.keep = false
 		}
-	case HopAnswered:
+	case ServerAnswered:
 		s.answered(ev)
-	case HopClosed:
-		s.hopClosed(ev.Leg)
-	case ListTold:
+	case ServerClosed:
+		s.hopClosed(ev.Conn)
+	case ListReceived:
 		s.changed()
 		if !ev.Late {
-			s.list.Know(!ev.Whole)
+			s.list.Know(!ev.NextFull)
 		}
 		s.told(ev)
-	case ListReached:
+	case ListConnected:
 		s.list.Reached()
-	case Settled:
+	case FencingUpdated:
 		s.settled(ev)
-	case CallerQuiet:
-		s.quiet(ev.Leg)
-	case CallersTold:
+	case ClientIdleConfirmed:
+		s.quiet(ev.Conn)
+	case AcceptQueueDrained:
 		s.telling, s.allTold = false, true
 	case Reloaded:
 		s.counts.loads++
 		s.changed()
 		s.reloaded(ev)
-	case Remembered:
+	case LearnedReceived:
 		if m, ok := s.bal.(interface {
 			Import(now, ago time.Duration, l lg.Learned)
 		}); ok {
-			m.Import(s.now, ev.Ago, ev.Learned)
+			m.Import(s.now, ev.Age, ev.Learned)
 		}
 	case ReloadFailed:
 		s.counts.loadFails++
@@ -361,8 +361,8 @@
 
 // ready tells whether there is a next hop that takes requests.
 func (s *State) ready() bool {
-	return !s.stopping && !s.outgoing() && (s.list.confirmed || s.now >= s.cfg.Confirm) && s.pool.Ready() &&
-		(s.list.used || s.pushed())
+	return !s.stopping && !s.outgoing() && (s.list.confirmed || s.now >= s.cfg.ConfirmTimeout) &&
+		s.pool.Ready() && (s.list.used || s.pushed())
 }
 
 // Ready tells whether this process can serve.
@@ -382,8 +382,8 @@
 // share gives the hop legs' descriptors their bound: half while another process of this proxy holds its
 // own.
 func (s *State) share() {
-	most := s.cfg.MaxHops
-	if s.cfg.Overlap > 0 && (s.now < s.cfg.Overlap || s.stopping) {
+	most := s.cfg.MaxServerConns
+	if s.cfg.OverlapUntil > 0 && (s.now < s.cfg.OverlapUntil || s.stopping) {
 		most = max(1, most/2)
 	}
 	s.pool.Limit(most)
@@ -396,7 +396,7 @@
 }
 
 // Retunes tells whether new settings can be taken while the proxy runs.
-func (s *State) Retunes() bool {
+func (s *State) SupportsRetune() bool {
 	_, ok := s.bal.(retuner)
 	return ok
 }
@@ -404,7 +404,7 @@
 // reloaded takes in a new configuration. Where discovery has moved, what it was asked at the
 // old address is given up at once: there the answer may never come.
 func (s *State) reloaded(ev Reloaded) {
-	s.cfg.MaxCallers, s.cfg.MaxHops = ev.MaxCallers, ev.MaxHops
+	s.cfg.MaxClients, s.cfg.MaxServerConns = ev.MaxClients, ev.MaxServerConns
 	if m, ok := s.bal.(retuner); ok && ev.Settings != nil {
 		if err := m.Retune(s.now, *ev.Settings); err != nil {
 			s.do(Effect{Do: Log, Text: "the settings stay as they were: " + err.Error()}) // checked when it was read
@@ -477,15 +477,15 @@
 // its answer. An idle leg is ended in no other way.
 func (s *State) ease(c *caller) {
 	c.eased = true
-	s.do(Effect{Do: EaseCaller, Leg: c.id})
+	s.do(Effect{Do: CheckClientIdle, Conn: c.id})
 }
 
 // quiet ends sending on a leg that is to be let go.
-func (s *State) quiet(id LegID) {
+func (s *State) quiet(id ConnID) {
 	if c := s.callers[id]; c != nil && c.phase == callerIdle && c.eased {
 		cause := ClosedIdle
 		if c.wanted {
-			cause = ClosedForRoom
+			cause = ClosedForCapacity
 		}
 		s.part(c, cause)
 	}
@@ -499,7 +499,7 @@
 		s.do(Effect{Do: Finish})
 	case !s.telling:
 		s.telling = true
-		s.do(Effect{Do: TellCallers})
+		s.do(Effect{Do: DrainAcceptQueue})
 	}
 }
 
--- a/internal/reducer/streams.go
+++ b/internal/reducer/streams.go
@@ -3,14 +3,14 @@
 import lg "lilacglade"
 
 // wholly takes in the end of a request that streams: its time counts from here.
-func (s *State) wholly(ev CallerWhole) {
-	c := s.callers[ev.Leg]
+func (s *State) wholly(ev RequestBodyComplete) {
+	c := s.callers[ev.Conn]
 	if c == nil || c.req == nil || !c.req.stream || c.req.whole > 0 {
 		return
 	}
 	r := c.req
 	r.whole = max(1, s.now)
-	r.deadline = min(r.deadline, ev.Read+r.may-margin)
+	r.deadline = min(r.deadline, ev.ReadAt+r.may-margin)
 	if r.branch != nil {
 		r.branch.until = r.deadline
 	}
@@ -18,13 +18,13 @@
 }
 
 // spoilt ends a request whose rest can't be had.
-func (s *State) spoilt(ev CallerSpoilt) {
-	c := s.callers[ev.Leg]
+func (s *State) spoilt(ev RequestBodyFailed) {
+	c := s.callers[ev.Conn]
 	if c == nil || c.req == nil || !c.req.stream || c.req.whole > 0 {
 		return
 	}
-	r, e := c.req, Effect{Verdict: Faulty, Payload: ev.Payload, Last: true}
-	if ev.Slow {
+	r, e := c.req, Effect{Verdict: Invalid, Payload: ev.Payload, Last: true}
+	if ev.TimedOut {
 		e.Verdict = TooSlow
 	}
 	s.finish(r, e)
@@ -45,7 +45,7 @@
 // begins holds back an answer of unknown length for a moment: most are whole by then, and can be had
 // elsewhere if they break off. Guards against holding back the first bytes of a long one that comes
 // slowly: they count.
-func (s *State) begins(id LegID) {
+func (s *State) begins(id ConnID) {
 	l := s.legs[id]
 	if l == nil || l.branch == nil {
 		return
@@ -53,15 +53,15 @@
 	b := l.branch
 	s.clock.add(s.now+openFor, func() {
 		if s.legs[id] == l && l.branch == b {
-			s.do(Effect{Do: StreamHop, Leg: id})
+			s.do(Effect{Do: StreamResponse, Conn: id})
 		}
 	})
 }
 
 // streams takes in an answer that has begun and is passed on as it comes: for the module the attempt
 // has ended well, and the request has its final answer.
-func (s *State) streams(ev HopStreams) {
-	l := s.legs[ev.Leg]
+func (s *State) streams(ev ResponseStreaming) {
+	l := s.legs[ev.Conn]
 	if l == nil || l.phase != hopWaiting && l.phase != hopEarly && l.phase != hopWriting {
 		return
 	}
@@ -79,21 +79,21 @@
 	}
 	s.phase(c, callerAnswering)
 	c.last = c.last || s.stopping
-	s.do(Effect{Do: AnswerCaller, Leg: c.id, Verdict: Served, Payload: ev.Payload, Last: c.last,
+	s.do(Effect{Do: AnswerClient, Conn: c.id, Verdict: Served, Payload: ev.Payload, Last: c.last,
 		At: s.now + takeWithin})
 }
 
 // streamed takes in the end of an answer that was passed on, or that its caller has left.
-func (s *State) streamed(c *caller, ev CallerWritten) {
+func (s *State) streamed(c *caller, ev ResponseWritten) {
 	r, l := c.req, c.feed
 	c.req, c.feed, r.flowing = nil, nil, false
 	if ev.OK {
 		s.ended(r.count, Served)
 	} else {
-		s.ended(r.count, Broken)
+		s.ended(r.count, Failed)
 	}
 	s.remove(r)
-	if ev.OK && ev.Keep && l.keep {
+	if ev.OK && ev.Reusable && l.keep {
 		s.release(l)
 	} else {
 		s.drop(l)
--- a/internal/reducer/streams_test.go
+++ b/internal/reducer/streams_test.go
@@ -10,10 +10,10 @@
 func TestStreamTimeCountsFromItsLastByte(t *testing.T) {
 	m := newModel(t)
 	m.callers[1] = nil
-	m.step(CallerOpened{1})
+	m.step(ClientOpened{1})
 	m.stream(1, 0)
 	m.hops[1].open = true
-	m.step(HopDialed{Leg: 1, OK: true})
+	m.step(ServerDialed{Conn: 1, OK: true})
 	c := m.calls[0]
 	for range 20 {
 		m.pass(time.Second)
@@ -22,12 +22,12 @@
 		t.Fatal("given up while it came in")
 	}
 	m.finishes(c)
-	m.step(HopWritten{Leg: 1, OK: true, Gone: true})
+	m.step(RequestWritten{Conn: 1, OK: true, BodyConsumed: true})
 	m.pass(800*ms - margin - ms)
 	if c.answers > 0 {
 		t.Fatal("given up too early")
 	}
-	if m.pass(2 * ms); c.answers != 1 || c.verdict != Late {
+	if m.pass(2 * ms); c.answers != 1 || c.verdict != DeadlineExceeded {
 		t.Errorf("%d answers, verdict %d", c.answers, c.verdict)
 	}
 }
--- a/internal/reducer/trace.go
+++ b/internal/reducer/trace.go
@@ -14,8 +14,9 @@
 // does to one next hop reads these; nil costs one check.
 type Tracer func(line string)
 
-var verdicts = [...]string{Served: "served", Busy: "busy", Broken: "broken", Late: "late", Faulty: "faulty",
-	Taken: "taken", ReadyNow: "ready", NotReady: "notready", TooSlow: "slow"}
+var verdicts = [...]string{Served: "served", Rejected: "busy", Failed: "broken",
+	DeadlineExceeded: "late", Invalid: "faulty", DuplicateName: "taken", ReadyNow: "ready", NotReady: "notready",
+	TooSlow: "slow"}
 
 var lists = [...]string{lg.FullList: "full", lg.Changes: "changes", lg.CachedList: "cached",
 	lg.ListFailed: "failed"}
--- a/internal/reducer/work.go
+++ b/internal/reducer/work.go
@@ -14,19 +14,19 @@
 
 // Settled brings what the proxies have settled among themselves about machines that are taken out for work.
 // Own is the grant by which this proxy's own machine is to go out; 0: it isn't.
-type Settled struct {
-	Facts fencing.Facts[lg.ServerID]
-	Own   uint64
+type FencingUpdated struct {
+	Facts    fencing.Facts[lg.ServerID]
+	OwnGrant uint64
 }
 
-func (Settled) event() {}
+func (FencingUpdated) event() {}
 
 // Stopped is the Payload of a Stop effect: the reducer keeps to the facts up to Index, and no leg is open to
 // the machines of Clear, of these grants.
-type Stopped struct {
-	Index uint64
-	Clear []fencing.Mark[lg.ServerID]
-	Own   uint64 // nothing is open here any more, of this grant of the proxy's own machine
+type FencingStatus struct {
+	Index    uint64
+	Clear    []fencing.Mark[lg.ServerID]
+	OwnGrant uint64 // nothing is open here any more, of this grant of the proxy's own machine
 }
 
 // work is the machines that other proxies, too, take out for work. With no peers there is none.
@@ -34,7 +34,7 @@
 	set    *fencing.Set[lg.ServerID]
 	listed map[lg.ServerID]lg.Server // as discovery lists them
 	held   map[lg.ServerID]bool      // what the module and the pool were told to be draining for it
-	told   Stopped                   // last
+	told   FencingStatus             // last
 	due    time.Duration             // when the clock has the next look at the lease
 	polled bool                      // the clock has the next look at what is open
 	own    uint64                    // the grant by which this proxy's own machine goes out
@@ -73,15 +73,15 @@
 }
 
 // settled takes in what the council tells.
-func (s *State) settled(ev Settled) {
+func (s *State) settled(ev FencingUpdated) {
 	if s.work == nil {
 		return
 	}
 	w := s.work
 	w.set.Told(ev.Facts)
-	if ev.Own != w.own {
+	if ev.OwnGrant != w.own {
 		begins := w.own == 0
-		if w.own, w.closed = ev.Own, false; begins {
+		if w.own, w.closed = ev.OwnGrant, false; begins {
 			s.clock.add(s.now+drainFor, s.emptying)
 		}
 		s.readiness()
@@ -151,11 +151,11 @@
 func (s *State) cutNamed() {
 	for _, id := range s.work.set.Named() {
 		for _, l := range inOrder(s.legs) {
-			if l.Hop.ID != id || s.legs[LegID(l.ID)] != l {
+			if l.Hop.ID != id || s.legs[ConnID(l.ID)] != l {
 				continue
 			}
 			if c := s.fedBy(l); c != nil {
-				s.closeCaller(c, ClosedForWork) // its answer breaks off, for all to see
+				s.closeCaller(c, ClosedForMaintenance) // its answer breaks off, for all to see
 				continue
 			}
 			if l.branch != nil {
@@ -181,13 +181,13 @@
 // stopped tells the council how far this proxy has got, when that has changed.
 func (s *State) stopped() {
 	w := s.work
-	now := Stopped{Index: w.set.Index(), Clear: w.set.Clear(s.openAt)}
+	now := FencingStatus{Index: w.set.Index(), Clear: w.set.Clear(s.openAt)}
 	if w.closed {
-		now.Own = w.own
+		now.OwnGrant = w.own
 	}
-	if now.Index != w.told.Index || now.Own != w.told.Own || !slices.Equal(now.Clear, w.told.Clear) {
+	if now.Index != w.told.Index || now.OwnGrant != w.told.OwnGrant || !slices.Equal(now.Clear, w.told.Clear) {
 		w.told = now
-		s.do(Effect{Do: Stop, Payload: now})
+		s.do(Effect{Do: ReportFencing, Payload: now})
 	}
 	// What is clear stays so while it is marked, for days where it failed: nothing is opened there.
 	if len(now.Clear) < w.set.Marks() && !w.polled {
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/work_test.go
@@ -12,38 +12,38 @@
 // settleWork is a State that knows three machines, and a way to step it.
 func settleWork(t *testing.T) (*State, func(ev Event, at time.Duration) []Effect) {
 	cfg := testConfig()
-	cfg.Work, cfg.Figures = true, true
+	cfg.Maintenance, cfg.PublishMetrics = true, true
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	step := func(ev Event, at time.Duration) []Effect { return append([]Effect(nil), s.Step(at, ev)...) }
-	step(ListTold{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}, {ID: 2}, {ID: 3}}}},
+	step(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}, {ID: 2}, {ID: 3}}}},
 		time.Hour)
 	return s, step
 }
 
 // reaches has requests come and be answered; it tells whether one is sent to a machine.
 func (s *State) reaches(step func(Event, time.Duration) []Effect, id lg.ServerID, at time.Duration,
-	leg *LegID) (got bool) {
+	leg *ConnID) (got bool) {
 	for range 60 {
 		*leg++
-		step(CallerOpened{*leg}, at)
-		todo := step(CallerAsked{Leg: *leg, Name: fmt.Sprint(*leg), Deadline: at + time.Second,
+		step(ClientOpened{*leg}, at)
+		todo := step(RequestReceived{Conn: *leg, Name: fmt.Sprint(*leg), Deadline: at + time.Second,
 			Key: uint64(*leg) * 0x9e3779b97f4a7c15, HasKey: true}, at)
 		for len(todo) > 0 {
 			e := todo[0]
 			todo = todo[1:]
 			switch e.Do {
 			case Dial:
-				todo = append(todo, step(HopDialed{Leg: e.Leg, OK: true}, at)...)
+				todo = append(todo, step(ServerDialed{Conn: e.Conn, OK: true}, at)...)
 			case Forward:
-				got = got || s.legs[e.Leg].Hop.ID == id
-				todo = append(todo, step(HopWritten{Leg: e.Leg, OK: true}, at)...)
-				todo = append(todo, step(HopAnswered{Leg: e.Leg, Result: lg.OK, Keep: true}, at)...)
+				got = got || s.legs[e.Conn].Hop.ID == id
+				todo = append(todo, step(RequestWritten{Conn: e.Conn, OK: true}, at)...)
+				todo = append(todo, step(ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}, at)...)
 			}
 		}
-		step(CallerClosed{*leg}, at)
+		step(ClientClosed{*leg}, at)
 	}
 	return got
 }
@@ -52,18 +52,18 @@
 // marked, and at named ones once the lease has run out, however late the process looks at its clock.
 func TestWorkHolds(t *testing.T) {
 	s, step := settleWork(t)
-	now, leg := time.Hour, LegID(0)
+	now, leg := time.Hour, ConnID(0)
 	if s.Ready() || s.reaches(step, 1, now, &leg) {
 		t.Error("served before the first lease")
 	}
 	f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
 		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
-	step(Settled{Facts: f}, now)
+	step(FencingUpdated{Facts: f}, now)
 	if !s.Ready() || s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
 		t.Error("a marked machine gets requests, or a named one none")
 	}
 	// Discovery that lists it as ready again changes nothing.
-	step(ListTold{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}, {ID: 2}, {ID: 3}}}}, now)
+	step(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}, {ID: 2}, {ID: 3}}}}, now)
 	if s.reaches(step, 1, now, &leg) {
 		t.Error("discovery's word goes before what was settled")
 	}
@@ -73,7 +73,7 @@
 		t.Error("a paused process begins at a machine that may be out")
 	}
 	f.Index, f.Marked, f.Named, f.Until = 4, nil, nil, now+3*time.Second
-	step(Settled{Facts: f}, now)
+	step(FencingUpdated{Facts: f}, now)
 	if !s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
 		t.Error("not sent to again")
 	}
@@ -87,26 +87,26 @@
 		now := time.Hour
 		f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
 			Grace: time.Second}
-		step(Settled{Facts: f}, now)
-		step(CallerOpened{1}, now)
+		step(FencingUpdated{Facts: f}, now)
+		step(ClientOpened{1}, now)
 		var at lg.ServerID
-		var hop LegID
-		for _, e := range step(CallerAsked{Leg: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
+		var hop ConnID
+		for _, e := range step(RequestReceived{Conn: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
 			if e.Do == Dial {
-				at, hop = e.Server, e.Leg
+				at, hop = e.Server, e.Conn
 			}
 		}
-		step(HopDialed{Leg: hop, OK: true}, now)
-		step(HopWritten{Leg: hop, OK: true}, now)
+		step(ServerDialed{Conn: hop, OK: true}, now)
+		step(RequestWritten{Conn: hop, OK: true}, now)
 		f.Index, f.Marked = 4, []fencing.Mark[lg.ServerID]{{Machine: at, Grant: 4}}
-		step(Settled{Facts: f}, now)
+		step(FencingUpdated{Facts: f}, now)
 		if tc.relist {
-			step(ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at, State: lg.Gone}}}}, now)
-			step(ListTold{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at}}}}, now)
+			step(ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at, State: lg.Gone}}}}, now)
+			step(ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at}}}}, now)
 		}
 		cleared := func(effects []Effect) bool {
 			for _, e := range effects {
-				if e.Do == Stop && len(e.Payload.(Stopped).Clear) > 0 {
+				if e.Do == ReportFencing && len(e.Payload.(FencingStatus).Clear) > 0 {
 					return true
 				}
 			}
@@ -115,19 +115,20 @@
 		clear := false
 		for range 100 {
 			now += stopEvery / 2
-			clear = clear || cleared(step(Woken{}, now))
+			clear = clear || cleared(step(TimerFired{}, now))
 		}
 		if clear || len(s.legs) != 1 {
 			t.Errorf("%+v: clear with a request there", tc)
 		}
 		if tc.lapse {
-			if now += 2 * time.Second; !cleared(step(Woken{}, now)) && !cleared(step(Woken{}, now+stopEvery)) {
+			if now += 2 * time.Second; !cleared(step(TimerFired{}, now)) &&
+				!cleared(step(TimerFired{}, now+stopEvery)) {
 				t.Errorf("%+v: not cut after the lease and the longest deadline", tc)
 			}
 			continue
 		}
-		done := step(HopAnswered{Leg: hop, Result: lg.OK, Keep: true}, now)
-		if !cleared(append(done, step(Woken{}, now+2*stopEvery)...)) {
+		done := step(ServerAnswered{Conn: hop, Result: lg.OK, Reusable: true}, now)
+		if !cleared(append(done, step(TimerFired{}, now+2*stopEvery)...)) {
 			t.Errorf("%+v: never clear", tc)
 		}
 	}
@@ -139,25 +140,25 @@
 	s, step := settleWork(t)
 	now := time.Hour
 	f := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
-	step(Settled{Facts: f}, now)
-	step(CallerOpened{1}, now)
-	step(CallerOpened{2}, now)
-	var hop LegID
-	for _, e := range step(CallerAsked{Leg: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
+	step(FencingUpdated{Facts: f}, now)
+	step(ClientOpened{1}, now)
+	step(ClientOpened{2}, now)
+	var hop ConnID
+	for _, e := range step(RequestReceived{Conn: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
 		if e.Do == Dial {
-			hop = e.Leg
+			hop = e.Conn
 		}
 	}
-	step(HopDialed{Leg: hop, OK: true}, now)
-	step(HopWritten{Leg: hop, OK: true}, now)
+	step(ServerDialed{Conn: hop, OK: true}, now)
+	step(RequestWritten{Conn: hop, OK: true}, now)
 	f.Index = 4
-	step(Settled{Facts: f, Own: 4}, now)
+	step(FencingUpdated{Facts: f, OwnGrant: 4}, now)
 	empty := func(long time.Duration) (got bool) {
 		for end := now + long; now < end; now += drainEvery {
-			for _, e := range step(Woken{}, now) {
-				got = got || e.Do == Stop && e.Payload.(Stopped).Own == 4
-				if e.Do == EaseCaller {
-					step(CallerQuiet{e.Leg}, now)
+			for _, e := range step(TimerFired{}, now) {
+				got = got || e.Do == ReportFencing && e.Payload.(FencingStatus).OwnGrant == 4
+				if e.Do == CheckClientIdle {
+					step(ClientIdleConfirmed{e.Conn}, now)
 				}
 			}
 		}
@@ -166,23 +167,23 @@
 	if s.Ready() || empty(time.Second) {
 		t.Error("ready, or empty with a request in work")
 	}
-	for _, e := range step(HopAnswered{Leg: hop, Result: lg.OK, Keep: true}, now) {
-		if e.Do == AnswerCaller && !e.Last {
+	for _, e := range step(ServerAnswered{Conn: hop, Result: lg.OK, Reusable: true}, now) {
+		if e.Do == AnswerClient && !e.Last {
 			t.Error("the leg stays open behind the answer")
 		}
 	}
-	step(CallerWritten{Leg: 1, OK: true}, now)
+	step(ResponseWritten{Conn: 1, OK: true}, now)
 	if !empty(2 * time.Second) {
 		t.Error("never empty")
 	}
-	step(CallerOpened{3}, now)
-	for _, e := range step(CallerAsked{Leg: 3, Name: "b", Deadline: now + 10*time.Second}, now) {
-		if e.Do == Dial || e.Do == AnswerCaller && e.Verdict != Busy {
+	step(ClientOpened{3}, now)
+	for _, e := range step(RequestReceived{Conn: 3, Name: "b", Deadline: now + 10*time.Second}, now) {
+		if e.Do == Dial || e.Do == AnswerClient && e.Verdict != Rejected {
 			t.Error("takes a request after it was empty")
 		}
 	}
 	f.Index = 5
-	if step(Settled{Facts: f}, now); !s.Ready() {
+	if step(FencingUpdated{Facts: f}, now); !s.Ready() {
 		t.Error("not ready again after the order was given up")
 	}
 }
@@ -196,8 +197,8 @@
 	if s.work != nil {
 		t.Error("there is something to look at")
 	}
-	for _, e := range s.Step(time.Hour, Settled{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
-		if e.Do == Stop {
+	for _, e := range s.Step(time.Hour, FencingUpdated{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
+		if e.Do == ReportFencing {
 			t.Error("facts were taken in")
 		}
 	}
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -19,7 +19,7 @@
 		// first is still answered.
 		if cut || g.parser.Held() > heldWhileBusy {
 			g.deaf.Store(true)
-			p.step(reducer.CallerFlooding{Leg: g.id})
+			p.step(reducer.ClientFlooding{Conn: g.id})
 		}
 		return
 	}
@@ -47,10 +47,10 @@
 		if g.parser.Head() && g.headAt.IsZero() {
 			g.headAt = g.read
 		}
-		ev := reducer.CallerReading{Leg: g.id}
+		ev := reducer.ClientReading{Conn: g.id}
 		if !g.headAt.IsZero() {
-			ev.Took = time.Duration(g.parser.Came()) * time.Second / uploadRate
-			ev.By = p.at(g.headAt) + uploadGrace + ev.Took
+			ev.BodyAllowance = time.Duration(g.parser.Came()) * time.Second / uploadRate
+			ev.Deadline = p.at(g.headAt) + uploadGrace + ev.BodyAllowance
 		}
 		p.step(ev)
 		if g.parser.Large() {
@@ -71,7 +71,7 @@
 	read := p.at(g.read)
 	ev := asked(&p.set, read < p.stale, g.id, m, read-g.late)
 	g.late = 0
-	if ask, ok := ev.(reducer.CallerAsked); ok {
+	if ask, ok := ev.(reducer.RequestReceived); ok {
 		g.asked = ask.Name
 	}
 	return ev
@@ -91,14 +91,14 @@
 	m.Close = true // nothing that is answered before its end can be followed by another request
 	g.old, g.headAt = m.Old, time.Time{}
 	ev := p.asked(g, m)
-	if ask, ok := ev.(reducer.CallerAsked); ok {
+	if ask, ok := ev.(reducer.RequestReceived); ok {
 		f := &flow{m: m, from: g, length: body.Known(), windows: p.windows, upload: true, body: body}
 		g.streaming = true
 		left := f.length - body.Came()
 		if f.length < 0 {
 			left = http1.MaxLarge
 		}
-		ask.Stream, ask.May, ask.Last, ask.Payload = true, ask.Deadline-p.at(g.read), closes, f
+		ask.Stream, ask.Timeout, ask.Last, ask.Payload = true, ask.Deadline-p.at(g.read), closes, f
 		ask.Deadline += uploadGrace + time.Duration(left)*time.Second/uploadRate
 		ev = ask
 	}
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -20,8 +20,8 @@
 
 func (p *proxy) carryOut(e reducer.Effect) {
 	switch e.Do {
-	case reducer.AnswerCaller:
-		if g := p.callers[e.Leg]; g != nil {
+	case reducer.AnswerClient:
+		if g := p.callers[e.Conn]; g != nil {
 			g.busy = true
 			g.asking.Store(true)
 			if f, ok := e.Payload.(*flow); ok && e.Verdict == reducer.Served {
@@ -32,36 +32,36 @@
 			p.observed.unserved(g, e, p.now())
 			g.write(job{bufs: answer(e), by: e.At, report: true})
 		}
-	case reducer.EaseCaller:
-		if g := p.callers[e.Leg]; g != nil {
+	case reducer.CheckClientIdle:
+		if g := p.callers[e.Conn]; g != nil {
 			p.inbox.post(easing{g})
 		}
-	case reducer.PartCaller:
-		if g := p.callers[e.Leg]; g != nil {
+	case reducer.CloseClientWrite:
+		if g := p.callers[e.Conn]; g != nil {
 			g.part()
 		}
-	case reducer.CloseCaller:
-		if g := p.callers[e.Leg]; g != nil {
+	case reducer.CloseClientConn:
+		if g := p.callers[e.Conn]; g != nil {
 			g.close()
 		}
 	case reducer.Dial:
-		g := &leg{id: e.Leg, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
-		p.hops[e.Leg] = g
+		g := &leg{id: e.Conn, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
+		p.hops[e.Conn] = g
 		go g.dial(p.servers.Address(e.Server), e.At)
 	case reducer.Forward:
-		if g := p.hops[e.Leg]; g != nil {
+		if g := p.hops[e.Conn]; g != nil {
 			p.forward(g, e)
 		}
-	case reducer.CloseHop:
-		if g := p.hops[e.Leg]; g != nil {
-			delete(p.hops, e.Leg)
+	case reducer.CloseServerConn:
+		if g := p.hops[e.Conn]; g != nil {
+			delete(p.hops, e.Conn)
 			if g.flow != nil {
 				g.flow.stop(g)
 			}
 			g.close()
 		}
-	case reducer.StreamHop:
-		if g := p.hops[e.Leg]; g != nil && g.busy {
+	case reducer.StreamResponse:
+		if g := p.hops[e.Conn]; g != nil && g.busy {
 			g.parser.Enlarge()
 			if g.pulling {
 				g.hush()
@@ -69,20 +69,20 @@
 				p.inbox.post(bytesIn{leg: g, read: time.Now()}) // looked at once this effect is done
 			}
 		}
-	case reducer.Arm:
+	case reducer.ArmTimer:
 		p.timer.Reset(p.until(e.At))
 	case reducer.Watch:
 		p.watch(e)
 	case reducer.Publish:
-		figures := e.Payload.(*reducer.Figures)
+		figures := e.Payload.(*reducer.Metrics)
 		figures.Sockets = p.observed.figures
 		p.published(figures)
-	case reducer.Stop:
-		stopped := e.Payload.(reducer.Stopped)
-		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.Own)
+	case reducer.ReportFencing:
+		stopped := e.Payload.(reducer.FencingStatus)
+		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.OwnGrant)
 	case reducer.Log:
 		p.logServer(e)
-	case reducer.TellCallers:
+	case reducer.DrainAcceptQueue:
 		go p.listener.settle(func() { p.inbox.post(allTold{}) })
 	case reducer.Finish:
 		p.done = true
@@ -116,7 +116,7 @@
 
 // watch has discovery asked.
 func (p *proxy) watch(e reducer.Effect) {
-	if p.watcher == nil || p.watcher.address != e.Text || e.Anew {
+	if p.watcher == nil || p.watcher.address != e.Text || e.NewConn {
 		if p.watcher != nil {
 			p.watcher.stop()
 		}
@@ -126,5 +126,5 @@
 		p.watcher = newWatcher(e.Text, p.inbox, p.clock, p.decoder)
 		go p.watcher.run()
 	}
-	p.watcher.ask(call{p.servers.Query(p.now(), e.At), e.GiveUp + giveUpSlack})
+	p.watcher.ask(call{p.servers.Query(p.now(), e.At), e.GiveUpAt + giveUpSlack})
 }
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -16,7 +16,7 @@
 	switch item := item.(type) {
 	case accepted:
 		p.callers[item.leg.id] = item.leg
-		p.step(reducer.CallerOpened{Leg: item.leg.id})
+		p.step(reducer.ClientOpened{Conn: item.leg.id})
 	case bytesIn:
 		g := item.leg
 		g.unread.Add(-int64(len(item.data)))
@@ -42,18 +42,18 @@
 		}
 	case whole:
 		item.flow.ended = true
-		p.step(reducer.CallerWhole{Leg: item.flow.from.id, Read: p.at(item.read)})
+		p.step(reducer.RequestBodyComplete{Conn: item.flow.from.id, ReadAt: p.at(item.read)})
 	case spoilt:
 		answer := unreadable(item.leg.id, item.err)
-		p.step(reducer.CallerSpoilt{Leg: item.leg.id, Payload: answer.Payload, Slow: errors.Is(item.err,
+		p.step(reducer.RequestBodyFailed{Conn: item.leg.id, Payload: answer.Payload, TimedOut: errors.Is(item.err,
 			os.ErrDeadlineExceeded)})
 	case unfit:
-		p.step(reducer.HopUnfit{Leg: item.leg.id})
+		p.step(reducer.ServerConnUnusable{Conn: item.leg.id})
 	case unsent:
 		item.leg.busy, item.leg.flow = false, nil
-		p.step(reducer.HopUnsent{Leg: item.leg.id})
+		p.step(reducer.RequestUnsent{Conn: item.leg.id})
 	case left:
-		p.step(reducer.CallerClosed{Leg: item.leg.id})
+		p.step(reducer.ClientClosed{Conn: item.leg.id})
 	case broken:
 		p.broke(item.leg, item.reset)
 	case written:
@@ -63,13 +63,13 @@
 			return
 		}
 		if !g.caller {
-			p.step(reducer.HopWritten{Leg: g.id, OK: item.err == nil})
+			p.step(reducer.RequestWritten{Conn: g.id, OK: item.err == nil})
 			return
 		}
 		g.busy = false
 		g.asking.Store(false)
 		p.observed.unanswered(g, item.err, p.now())
-		p.step(reducer.CallerWritten{Leg: g.id, OK: item.err == nil})
+		p.step(reducer.ResponseWritten{Conn: g.id, OK: item.err == nil})
 		p.read(g, false)
 	case dialed:
 		g := item.leg
@@ -83,10 +83,10 @@
 		if !ok {
 			delete(p.hops, g.id)
 		}
-		p.step(reducer.HopDialed{Leg: g.id, OK: ok, Local: item.local})
+		p.step(reducer.ServerDialed{Conn: g.id, OK: ok, LocalFault: item.local})
 	case reached:
 		if item.by == p.watcher {
-			p.step(reducer.ListReached{})
+			p.step(reducer.ListConnected{})
 		}
 	case document:
 		if item.from == p.watcher {
@@ -108,18 +108,18 @@
 		callers, hops := budget(n.Limits)
 		p.listener.most.Store(int64(callers))
 		p.step(reducer.Reloaded{Settings: &p.set.Settings, Discovery: n.Discovery,
-			MaxCallers: calm(callers), MaxHops: hops})
+			MaxClients: calm(callers), MaxServerConns: hops})
 		if known != nil {
 			p.know(known)
 		}
 	case settled:
-		p.step(reducer.Settled{Facts: item.facts, Own: item.own})
+		p.step(reducer.FencingUpdated{Facts: item.facts, OwnGrant: item.own})
 	case easing:
 		if !item.leg.parted && !item.leg.busy && item.leg.quiet() {
-			p.step(reducer.CallerQuiet{Leg: item.leg.id})
+			p.step(reducer.ClientIdleConfirmed{Conn: item.leg.id})
 		}
 	case allTold:
-		p.step(reducer.CallersTold{})
+		p.step(reducer.AcceptQueueDrained{})
 	case alone:
 		p.confined()
 	case stopping:
@@ -151,7 +151,7 @@
 	}
 	if g.caller {
 		delete(p.callers, g.id)
-		p.step(reducer.CallerClosed{Leg: g.id})
+		p.step(reducer.ClientClosed{Conn: g.id})
 		return
 	}
 	// Guards against losing a large answer that had come whole with its connection's end, before the leg could
@@ -169,7 +169,7 @@
 		p.answered(g, answered(&p.set, g.id, m, false))
 	}
 	delete(p.hops, g.id)
-	p.step(reducer.HopClosed{Leg: g.id})
+	p.step(reducer.ServerClosed{Conn: g.id})
 }
 
 // toldLate takes in what came on a watch in the moment in which it was given up: it counts as told.
@@ -179,7 +179,7 @@
 	}
 	if list, ok := p.servers.ApplyLate(d.list, p.now()); ok {
 		p.logChanges()
-		p.step(reducer.ListTold{List: list, Late: true})
+		p.step(reducer.ListReceived{List: list, Late: true})
 		p.inventory()
 	}
 }
@@ -200,8 +200,8 @@
 	if err == nil {
 		p.logChanges()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches(), Complete: d.list.Whole(),
-		Work: d.decoding + time.Since(began)})
+	p.step(reducer.ListReceived{List: list, NextFull: !p.servers.Watches(), Complete: d.list.Whole(),
+		ProcessingTime: d.decoding + time.Since(began)})
 	if err == nil {
 		p.inventory()
 	}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -96,7 +96,7 @@
 	if !p.set.AskForList {
 		p.servers.Forget() // guards against a watch that waits for news, while what is known counts as outdated
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
+	p.step(reducer.ListReceived{List: list, NextFull: !p.servers.Watches()})
 	return true
 }
 
@@ -122,7 +122,7 @@
 	if !p.know(h.Routes) {
 		return false
 	}
-	p.step(reducer.Remembered{Ago: max(0, h.Age), Learned: h.Learned})
+	p.step(reducer.LearnedReceived{Age: max(0, h.Age), Learned: h.Learned})
 	log.Printf("took over from a process that wrote %v ago", h.Age.Round(time.Millisecond))
 	return true
 }
@@ -172,7 +172,7 @@
 // retune takes new settings for what is read from now on, unless the decider can't. Zones and kinds are
 // numbered by the new names; where these differ, the server list is to be told again: it is returned.
 func (p *proxy) retune(set settings.Settings) (known []byte) {
-	if !p.state.Retunes() {
+	if !p.state.SupportsRetune() {
 		return nil
 	}
 	before := p.set
--- a/internal/transport/leg.go
+++ b/internal/transport/leg.go
@@ -17,7 +17,7 @@
 
 // leg is one connection, to a caller or to a next hop.
 type leg struct {
-	id     reducer.LegID
+	id     reducer.ConnID
 	caller bool
 	inbox  *inbox
 	clock  clock
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -54,12 +54,12 @@
 }
 
 // faulty words the answer to what can't be taken as a request.
-func faulty(id reducer.LegID, status int, fields string, last bool) reducer.CallerFaulty {
-	return reducer.CallerFaulty{Leg: id, Payload: http1.Answer(status, fields, "", last), Last: last}
+func faulty(id reducer.ConnID, status int, fields string, last bool) reducer.RequestInvalid {
+	return reducer.RequestInvalid{Conn: id, Payload: http1.Answer(status, fields, "", last), Last: last}
 }
 
 // unreadable words the answer to what the parser gave up on.
-func unreadable(id reducer.LegID, err error) reducer.CallerFaulty {
+func unreadable(id reducer.ConnID, err error) reducer.RequestInvalid {
 	switch err {
 	case http1.ErrHeadSize:
 		return faulty(id, 431, "", true)
@@ -71,7 +71,7 @@
 
 // asked turns a request that was read at the given time into its event. Stale says that classes that are no
 // longer offered are taken, too.
-func asked(set *settings.Settings, stale bool, id reducer.LegID, m *http1.Message,
+func asked(set *settings.Settings, stale bool, id reducer.ConnID, m *http1.Message,
 	read time.Duration) reducer.Event {
 	method := string(m.Method)
 	switch string(m.Path()) {
@@ -79,7 +79,7 @@
 		if method != "GET" {
 			return faulty(id, 405, "Allow: GET\r\n", m.Close)
 		}
-		return reducer.CallerProbed{Leg: id, Last: m.Close}
+		return reducer.HealthChecked{Conn: id, Last: m.Close}
 	case pathAPI:
 	default:
 		return faulty(id, 404, "", m.Close)
@@ -120,7 +120,7 @@
 	if (len(m.Get(fieldUnique)) > 0) != (c.Effect == lg.Keyed) {
 		return faulty(id, 400, "", true)
 	}
-	ev := reducer.CallerAsked{Leg: id, Name: string(m.Get(fieldID)), Class: class, Tenant: -1,
+	ev := reducer.RequestReceived{Conn: id, Name: string(m.Get(fieldID)), Class: class, Tenant: -1,
 		Deadline: read + may, Repeat: string(m.Get(fieldRetry)) == "1", Cost: hint(m), Payload: m, Last: m.Close}
 	for i := range set.Tenants {
 		if string(m.Get(fieldTenant)) == set.Tenants[i].Name {
@@ -148,9 +148,9 @@
 
 // answered turns a next hop's answer into its event. Only the two statuses that say so
 // themselves prove that the request never ran.
-func answered(set *settings.Settings, id reducer.LegID, m *http1.Message,
-	keep bool) reducer.HopAnswered {
-	ev := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: m, Keep: keep && !m.Close,
+func answered(set *settings.Settings, id reducer.ConnID, m *http1.Message,
+	keep bool) reducer.ServerAnswered {
+	ev := reducer.ServerAnswered{Conn: id, Result: lg.ServerError, Payload: m, Reusable: keep && !m.Close,
 		Load: load(set.Report, m.Get(fieldLoad))}
 	switch m.Status {
 	case 200:
@@ -195,24 +195,24 @@
 	switch e.Verdict {
 	case reducer.Served:
 		return e.Payload.(*http1.Message).Back(fieldLoad, e.Last)
-	case reducer.Faulty:
+	case reducer.Invalid:
 		return e.Payload.([][]byte)
 	case reducer.ReadyNow:
 		return http1.Answer(200, "", "ready\n", e.Last)
 	case reducer.NotReady:
 		return http1.Answer(503, "", "not ready\n", e.Last)
-	case reducer.Busy:
+	case reducer.Rejected:
 		fields := ""
-		if e.Advice > 0 {
-			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", e.Advice.Seconds()), ".000")
+		if e.RetryAfter > 0 {
+			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", e.RetryAfter.Seconds()), ".000")
 			fields = "Retry-After: " + seconds + "\r\n"
 		}
 		return http1.Answer(503, fields, "", e.Last)
-	case reducer.Taken:
+	case reducer.DuplicateName:
 		return http1.Answer(409, "", "", e.Last)
 	case reducer.TooSlow:
 		return http1.Answer(408, "", "", e.Last)
-	case reducer.Late:
+	case reducer.DeadlineExceeded:
 		return http1.Answer(504, "", "", e.Last)
 	}
 	return http1.Answer(502, "", "", e.Last)
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -41,19 +41,19 @@
 		"Work-Hint: \r\nRequest-Info: a=b,=\r\n": 0,
 	} {
 		ev, ok := read(lines)
-		asked, took := ev.(reducer.CallerAsked)
+		asked, took := ev.(reducer.RequestReceived)
 		if !ok || !took || asked.Cost != want {
 			t.Errorf("%q: got %+v, want a request of %v", lines, ev, want)
 		}
 	}
 	var got lg.Request
-	s, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: spy{&got},
+	s, err := reducer.New(reducer.Config{MaxClients: 4, MaxServerConns: 4, Decider: spy{&got},
 		Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ev, _ := read("Work-Hint: 53000\r\n")
-	s.Step(0, reducer.CallerOpened{Leg: 1})
+	s.Step(0, reducer.ClientOpened{Conn: 1})
 	if s.Step(0, ev); got.Cost != 53*time.Millisecond {
 		t.Errorf("the module was told %v", got.Cost)
 	}
@@ -87,7 +87,7 @@
 		if !ok || strings.ContainsAny(value, "\r\n") {
 			return
 		}
-		if a, ok := ev.(reducer.CallerAsked); !ok || a.Cost < 0 || a.Cost > maxHint {
+		if a, ok := ev.(reducer.RequestReceived); !ok || a.Cost < 0 || a.Cost > maxHint {
 			t.Errorf("%s: %q gives %+v", name, value, ev)
 		}
 	})
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -28,7 +28,7 @@
 // observer is what the sockets tell operators about: the log's lines and the figures that the reducer can't
 // count. The reducer's goroutine owns it.
 type observer struct {
-	figures   reducer.SocketFigures
+	figures   reducer.SocketMetrics
 	clock     wallclock.Monitor
 	clockDue  time.Duration
 	unwritten logburst.Limiter
@@ -65,7 +65,7 @@
 	case bytesIn:
 		f.LongestQueued = max(f.LongestQueued, began.Sub(item.read))
 	case document:
-		f.LongestList = max(f.LongestList, took)
+		f.LongestListUpdate = max(f.LongestListUpdate, took)
 	}
 	if took < slowEvent {
 		return
@@ -115,7 +115,7 @@
 	if err == nil || clientLeft(err) {
 		return
 	}
-	o.figures.Unwritten++
+	o.figures.UnwrittenAnswers++
 	if more, ok := o.unwritten.Allow(now); ok {
 		log.Printf("the answer to request %q was not written and its connection is closed: %v (%d more since "+
 			"the last line)", g.asked, err, more)
@@ -125,7 +125,7 @@
 // unserved takes in an answer that is about to be written. One that is no server's, to a request that was
 // taken, is logged with what had been tried, so that an operator can tell why a client was turned away.
 func (o *observer) unserved(g *leg, e reducer.Effect, now time.Duration) {
-	u, ok := e.Payload.(reducer.Unserved)
+	u, ok := e.Payload.(reducer.FailureDetails)
 	if !ok {
 		return
 	}
@@ -135,10 +135,10 @@
 	}
 	tried := "nothing was sent to a server"
 	if u.Attempts > 0 {
-		tried = fmt.Sprintf("%d attempts, last result %s", u.Attempts, u.Last)
+		tried = fmt.Sprintf("%d attempts, last result %s", u.Attempts, u.LastResult)
 	}
 	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", g.asked, e.Verdict,
-		rounded(u.Took), tried, more)
+		rounded(u.Elapsed), tried, more)
 }
 
 // clientLeft tells whether an answer was not written because the other side has gone.
--- a/internal/transport/passing.go
+++ b/internal/transport/passing.go
@@ -18,7 +18,7 @@
 		to.asking.Store(false)
 		p.observed.unanswered(to, w.err, p.now())
 		keep := ok && len(rest) == 0 && !f.m.Close
-		p.step(reducer.CallerWritten{Leg: to.id, OK: ok, Keep: keep})
+		p.step(reducer.ResponseWritten{Conn: to.id, OK: ok, Reusable: keep})
 		p.read(to, false)
 		from.pull()
 		return
@@ -32,7 +32,7 @@
 		}
 		p.read(from, false)
 	}
-	p.step(reducer.HopWritten{Leg: to.id, OK: ok, Gone: gone})
+	p.step(reducer.RequestWritten{Conn: to.id, OK: ok, BodyConsumed: gone})
 }
 
 // pass passes a flow on to a leg, on the goroutine that writes on that leg.
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -57,8 +57,8 @@
 	decoder  *serverlist.Decoder
 	watcher  *watcher
 	listener *listener
-	callers  map[reducer.LegID]*leg
-	hops     map[reducer.LegID]*leg
+	callers  map[reducer.ConnID]*leg
+	hops     map[reducer.ConnID]*leg
 	timer    *time.Timer
 	door     *admin.Door // nil: operators can't call
 	passed   bool        // the listening socket is shared with other processes of this proxy
@@ -102,7 +102,7 @@
 // ServeBy runs the proxy with options.
 func ServeBy(ctx context.Context, node settings.Node, reloads <-chan Load, o Options) error {
 	p := &proxy{set: node.Settings, clock: startClock(), inbox: newInbox(),
-		callers: map[reducer.LegID]*leg{}, hops: map[reducer.LegID]*leg{}, timer: time.NewTimer(0),
+		callers: map[reducer.ConnID]*leg{}, hops: map[reducer.ConnID]*leg{}, timer: time.NewTimer(0),
 		observed: newObserver(), decoder: new(serverlist.Decoder)}
 	p.servers = serverlist.New(p.set.ZoneNames, p.set.KindNames, p.epoch())
 	callers, hops := budget(node.Limits)
@@ -110,14 +110,14 @@
 	p.passed = node.Passed != ""
 	p.windows = newWindows(int64(node.Limits.MemoryMB) << 20)
 	cfg := reducer.Config{Settings: p.set.Settings, Seed: node.Seed,
-		MaxCallers: calm(callers), MaxHops: hops, IdleHops: p.set.KeepAlive / idleParts,
-		Discovery: node.Discovery, Decider: o.Decider, Trace: o.Trace, Work: o.Peers != nil,
-		Figures: node.Admin != "" || o.Peers != nil}
+		MaxClients: calm(callers), MaxServerConns: hops, ServerIdleTimeout: p.set.KeepAlive / idleParts,
+		Discovery: node.Discovery, Decider: o.Decider, Trace: o.Trace, Maintenance: o.Peers != nil,
+		PublishMetrics: node.Admin != "" || o.Peers != nil}
 	if p.passed || !p.set.AskForList {
-		cfg.Confirm = p.now() + confirmWithin
+		cfg.ConfirmTimeout = p.now() + confirmWithin
 	}
 	if p.passed {
-		cfg.Overlap = p.now() + overlapFor
+		cfg.OverlapUntil = p.now() + overlapFor
 	}
 	p.state, err = reducer.New(cfg)
 	if err != nil {
@@ -169,7 +169,7 @@
 	}()
 	if !p.takeOver(node) && !p.know(node.Known) {
 		// Guards against a process that never asks, since it was never told anything.
-		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
+		p.step(reducer.ListReceived{List: lg.List{Kind: lg.CachedList}, NextFull: true})
 	}
 	log.Printf("%s serves on %s", node.Name, node.Listen)
 	err = p.run()
@@ -186,7 +186,7 @@
 	var last atomic.Uint64
 	return func(conn netpoll.Connection) context.Context {
 		ln.open.Add(1)
-		g := &leg{id: reducer.LegID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
+		g := &leg{id: reducer.ConnID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
 			waited: ln.since, taken: time.Now()}
 		g.attach(conn, func() { ln.open.Add(-1) })
 		p.inbox.post(accepted{g})
@@ -210,8 +210,8 @@
 		case <-p.inbox.wake:
 		case <-p.timer.C:
 			began := time.Now()
-			p.step(reducer.Woken{})
-			p.handled(reducer.Woken{}, began)
+			p.step(reducer.TimerFired{})
+			p.handled(reducer.TimerFired{}, began)
 		}
 		items = p.inbox.take(items)
 		for _, item := range items {
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -11,7 +11,7 @@
 func (p *proxy) readHop(g *leg, cut bool) {
 	if !g.busy {
 		if g.parser.Partial() {
-			p.step(reducer.HopStray{Leg: g.id})
+			p.step(reducer.UnexpectedServerData{Conn: g.id})
 		}
 		return
 	}
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case err != nil, m == nil && cut:
-		p.answered(g, reducer.HopAnswered{Leg: g.id, Result: lg.ServerError})
+		p.answered(g, reducer.ServerAnswered{Conn: g.id, Result: lg.ServerError})
 	case m != nil:
 		p.answered(g, answered(&p.set, g.id, m, !g.parser.Partial() && !cut))
 	case g.parser.Large() && !g.isRaw:
@@ -35,15 +35,15 @@
 		p.download(g)
 	case g.parser.Open() && g.parser.Status() == 200 && !g.begun:
 		g.begun = true
-		p.step(reducer.HopBegins{Leg: g.id})
+		p.step(reducer.ResponseStarted{Conn: g.id})
 	}
 }
 
 // answered takes in that a hop leg owes nothing any more. What is still being passed on to it is stopped.
-func (p *proxy) answered(g *leg, ev reducer.HopAnswered) {
+func (p *proxy) answered(g *leg, ev reducer.ServerAnswered) {
 	g.busy = false
 	if g.flow != nil {
-		ev.Gone = g.flow.stop(g)
+		ev.BodyConsumed = g.flow.stop(g)
 	}
 	p.step(ev)
 }
@@ -55,12 +55,12 @@
 	early := g.flow != nil && !g.flow.ended
 	if body.Done || ev.Result != lg.OK || early {
 		if !body.Done || early { // one that comes before its request is whole is not passed on either
-			ev = reducer.HopAnswered{Leg: g.id, Result: lg.ServerError, Load: ev.Load}
+			ev = reducer.ServerAnswered{Conn: g.id, Result: lg.ServerError, Load: ev.Load}
 		}
 		p.answered(g, ev)
 		return
 	}
 	g.busy, g.streaming = false, true
-	p.step(reducer.HopStreams{Leg: g.id, Load: ev.Load, Payload: &flow{m: m, from: g, length: body.Known(),
-		windows: p.windows, body: body}})
+	p.step(reducer.ResponseStreaming{Conn: g.id, Load: ev.Load, Payload: &flow{m: m, from: g,
+		length: body.Known(), windows: p.windows, body: body}})
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -255,7 +255,7 @@
 	for advice, want := range tests {
 		var p http1.Parser
 		p.Responses = true
-		for _, b := range answer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
+		for _, b := range answer(reducer.Effect{Verdict: reducer.Rejected, RetryAfter: advice}) {
 			p.Feed(append([]byte(nil), b...))
 		}
 		m, err := p.Next()
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -48,7 +48,7 @@
 	return func() bool {
 		now := p.now()
 		switch {
-		case e.Begin > 0 && now >= e.Begin, now >= e.At:
+		case e.StartBy > 0 && now >= e.StartBy, now >= e.At:
 			said.err = errBeginsLate
 			p.inbox.post(said)
 		case now-decided > heldFor:
@@ -61,7 +61,7 @@
 }
 
 // published shows the figures to operators, and what follows from them to the other proxies.
-func (p *proxy) published(f *reducer.Figures) {
+func (p *proxy) published(f *reducer.Metrics) {
 	if p.door != nil {
 		p.door.Show(f)
 	}
@@ -74,7 +74,7 @@
 		now.refused += h.Dropped
 	}
 	l := coordination.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
-	for _, r := range f.Rooms {
+	for _, r := range f.Headroom {
 		l.Busy += float64(r.Out)
 		name, ok := now.names[r.Server]
 		if r.Aside && ok {
@@ -84,7 +84,7 @@
 			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.Most})
 		}
 	}
-	for _, id := range f.Hot {
+	for _, id := range f.HotKeyServers {
 		if name, ok := now.names[id]; ok {
 			l.Hot = append(l.Hot, name)
 		}
--- a/internal/transport/work_test.go
+++ b/internal/transport/work_test.go
@@ -12,13 +12,13 @@
 func TestTooLateToBegin(t *testing.T) {
 	p := &proxy{clock: startClock(), inbox: newInbox()}
 	soon, over := p.now()+time.Hour, p.now()
-	for _, e := range []reducer.Effect{{At: soon}, {At: soon, Begin: soon}} {
+	for _, e := range []reducer.Effect{{At: soon}, {At: soon, StartBy: soon}} {
 		if p.late(e, written{})() {
 			t.Errorf("%+v: too late an hour before", e)
 		}
 	}
 	g := &leg{inbox: p.inbox, clock: p.clock}
-	for _, e := range []reducer.Effect{{At: soon, Begin: over}, {At: over}, {At: over, Begin: soon}} {
+	for _, e := range []reducer.Effect{{At: soon, StartBy: over}, {At: over}, {At: over, StartBy: soon}} {
 		g.write(job{bufs: [][]byte{[]byte("x")}, late: p.late(e, written{leg: g})})
 		<-p.inbox.wake
 		if items := p.inbox.take(nil); len(items) != 1 || items[0].(written).err == nil {
