--- a/internal/legs/work.go
+++ b/internal/legs/work.go
@@ -75,13 +75,13 @@
 	}
 	l := council.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
 	for _, r := range f.Rooms {
-		l.Busy += float64(r.Out)
+		l.Busy += float64(r.InFlight)
 		name, ok := now.names[r.Server]
-		if r.Aside && ok {
+		if r.Ejected && ok {
 			l.Avoids = append(l.Avoids, name)
 		}
 		if ok {
-			l.Rooms = append(l.Rooms, council.Room{Machine: name, Most: r.Most})
+			l.Rooms = append(l.Rooms, council.Room{Machine: name, Most: r.MaxInFlight})
 		}
 	}
 	for _, id := range f.Hot {
--- a/internal/proxystate/figures.go
+++ b/internal/proxystate/figures.go
@@ -24,8 +24,8 @@
 	Violations        sendguard.Counts       // of the rules at the edge; any is a fault of the program
 	List              ListFigures
 	Sockets           SocketFigures
-	Rooms             []lg.Room     // what was measured of the next hops; nil where proxies settle nothing
-	Hot               []lg.ServerID // next hops where a hot key is sent to
+	Rooms             []lg.ServerHeadroom // what was measured of the next hops; nil where proxies settle nothing
+	Hot               []lg.ServerID       // next hops where a hot key is sent to
 }
 
 // ListFigures tell how fresh the server list is that attempts go by.
@@ -141,8 +141,8 @@
 	if m, ok := s.bal.(interface{ Skipped() int }); ok {
 		f.Skipped += m.Skipped()
 	}
-	if m, ok := s.bal.(interface{ Rooms() []lg.Room }); ok && s.work != nil {
-		f.Rooms = m.Rooms()
+	if m, ok := s.bal.(interface{ Headroom() []lg.ServerHeadroom }); ok && s.work != nil {
+		f.Rooms = m.Headroom()
 		f.Hot = s.work.keys.Hot(s.now, len(f.Rooms))
 	}
 	for _, h := range s.counts.handled {
