--- a/internal/legs/handover.go
+++ b/internal/legs/handover.go
@@ -176,7 +176,7 @@
 		return nil
 	}
 	before := p.set
-	set.Settings = set.Settings.After(before.Settings)
+	set.Settings = set.Settings.RetainingClasses(before.Settings)
 	p.set, p.stale = set, p.now()+staleFor
 	if !slices.Equal(before.ZoneNames, set.ZoneNames) || !slices.Equal(before.KindNames, set.KindNames) {
 		known = p.servers.Document()
--- a/internal/proxystate/events.go
+++ b/internal/proxystate/events.go
@@ -165,7 +165,7 @@
 
 // Reloaded brings a new configuration: where discovery is and the caps, as in Config.
 type Reloaded struct {
-	// Settings are for requests from here on, as Settings.After returned them; nil: as before.
+	// Settings are for requests from here on, as Settings.RetainingClasses returned them; nil: as before.
 	Settings            *lg.Settings
 	Discovery           string
 	MaxCallers, MaxHops int
--- a/internal/proxystate/retune_test.go
+++ b/internal/proxystate/retune_test.go
@@ -22,7 +22,7 @@
 	set.MaxAttempts = 1
 	set.Classes = []lg.Class{{Name: "new", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5}, old.Classes[0]}
 	set.Classes[1].Effect = lg.Safe
-	set = set.After(old)
+	set = set.RetainingClasses(old)
 	m.step(Reloaded{Settings: &set, MaxCallers: 12, MaxHops: 8})
 	c := m.s.cfg.Settings.Classes
 	if set.Offered != 2 || len(c) != 4 || c[2] != old.Classes[0] || c[3] != old.Classes[1] {
--- a/retune.go
+++ b/retune.go
@@ -8,9 +8,9 @@
 // mostDropped bounds the classes that are kept for requests that began before they were dropped.
 const mostDropped = 64
 
-// After returns s as the settings to follow old ones: classes that s no longer has, or has changed,
-// stay behind those that it offers, for requests that have begun under them.
-func (s Settings) After(old Settings) Settings {
+// RetainingClasses returns s as the settings to follow old ones: classes that s no longer has, or has
+// changed, stay behind those that it offers, for requests that have begun under them.
+func (s Settings) RetainingClasses(old Settings) Settings {
 	offered := s.offered()
 	s.Offered, s.Classes = len(offered), slices.Clone(offered)
 	for _, c := range old.Classes {
@@ -28,8 +28,8 @@
 	return s.Classes[:s.Offered]
 }
 
-// Retune takes new settings, as After returned them, for requests from now on. Those that have begun
-// keep the class and the number of attempts that they began with. On an error nothing changes.
+// Retune takes new settings, as RetainingClasses returned them, for requests from now on. Those that have
+// begun keep the class and the number of attempts that they began with. On an error nothing changes.
 func (b *Balancer) Retune(now time.Duration, set Settings) error {
 	if err := set.check(); err != nil {
 		return err
--- a/retune_test.go
+++ b/retune_test.go
@@ -33,7 +33,7 @@
 	set := old
 	set.Classes = []Class{class("c", 3), class("b", 2)}
 	set.Tenants = []Tenant{{"u", 20}, {"v", 30}}
-	set = set.After(old)
+	set = set.RetainingClasses(old)
 	if err := b.Retune(time.Hour, set); err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	if b.tenants[0] != 0.5 || b.tenants[1] != 15 {
 		t.Errorf("allowances %v", b.tenants)
 	}
-	if again := old.After(set); len(again.Classes) != 3 || again.Classes[2].Name != "c" {
+	if again := old.RetainingClasses(set); len(again.Classes) != 3 || again.Classes[2].Name != "c" {
 		t.Errorf("back again: %+v", again.Classes)
 	}
 	server := b.requests[1].tried[0].ID
