--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -24,8 +24,8 @@
 	Violations                   sendguard.Counts       // of sendguard's rules; each one is a bug in the program
 	List                         ListMetrics
 	Sockets                      SocketMetrics
-	Headroom                     []lg.Room     // measured for each server; nil without peers
-	HotKeyServers                []lg.ServerID // next hops where a hot key is sent to
+	Headroom                     []lg.ServerHeadroom // measured for each server; nil without peers
+	HotKeyServers                []lg.ServerID       // next hops where a hot key is sent to
 }
 
 // ListFigures tell how fresh the server list is that attempts go by.
@@ -142,8 +142,8 @@
 	if m, ok := s.bal.(interface{ Skipped() int }); ok {
 		f.SkippedServers += m.Skipped()
 	}
-	if m, ok := s.bal.(interface{ Rooms() []lg.Room }); ok && s.work != nil {
-		f.Headroom = m.Rooms()
+	if m, ok := s.bal.(interface{ Headroom() []lg.ServerHeadroom }); ok && s.work != nil {
+		f.Headroom = m.Headroom()
 		f.HotKeyServers = s.work.keys.Hot(s.now, len(f.Headroom))
 	}
 	for _, h := range s.counts.handled {
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -75,13 +75,13 @@
 	}
 	l := coordination.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
 	for _, r := range f.Headroom {
-		l.Busy += float64(r.Out)
+		l.Busy += float64(r.InFlight)
 		name, ok := now.names[r.Server]
-		if r.Aside && ok {
+		if r.Ejected && ok {
 			l.Avoids = append(l.Avoids, name)
 		}
 		if ok {
-			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.Most})
+			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.MaxInFlight})
 		}
 	}
 	for _, id := range f.HotKeyServers {
