--- a/internal/hotkeys/hotkeys.go
+++ b/internal/hotkeys/hotkeys.go
@@ -1,6 +1,6 @@
-// Package hotkeys finds the keys that are a machine's load by themselves among those that a proxy sends,
-// in a bounded space: the counting of frequent items by Misra and Gries, over two windows by turns. It is
-// pure and knows nothing of what a machine is.
+// Package hotkeys finds the keys that on their own make up a large part of a machine's load, among the keys
+// that a proxy sends. It counts frequent items with the Misra-Gries algorithm in bounded memory, over two
+// alternating windows. It is pure and does not depend on what a machine is.
 package hotkeys
 
 import (
@@ -9,19 +9,20 @@
 )
 
 const (
-	counters = 256             // keys at machines counted at once: none over 1 in 256 of all is missed
-	window   = 2 * time.Second // over which a key is hot
-	least    = 32              // requests in a window, below which nothing is said
-	part     = 0.5             // of a machine's even share of the requests makes a key hot
+	counters = 256             // (key, machine) pairs counted at once; no pair above 1/256 of requests is missed
+	window   = 2 * time.Second // length of a counting window
+	least    = 32              // requests in a window below which no key counts as hot
+	part     = 0.5             // fraction 0..1 of a machine's even share of the requests that makes a key hot
 )
 
-// Counter counts. Its zero value is ready.
+// Counter counts the requests per key and machine. Its zero value is ready to use.
 type Counter[M comparable] struct {
 	began    time.Duration
 	now, was tally[M]
 }
 
-// tally counts a key apart at each machine that it goes to: one key may be spread over several.
+// tally holds the counts of one window. A key that is spread over several machines is counted separately at
+// each of them.
 type tally[M comparable] struct {
 	total int
 	sent  map[pair[M]]int
@@ -32,7 +33,7 @@
 	to  M
 }
 
-// Sent takes in that a request with a key was sent to a machine.
+// Sent records that a request with this key was sent to a machine.
 func (c *Counter[M]) Sent(now time.Duration, key uint64, to M) {
 	c.turn(now)
 	t := &c.now
@@ -44,14 +45,14 @@
 		t.sent[p]++
 		return
 	}
-	for p := range t.sent { // as often as there was a counted one for each: cheap on the whole
+	for p := range t.sent { // amortized: each decrement pays for one earlier increment
 		if t.sent[p]--; t.sent[p] == 0 {
 			delete(t.sent, p)
 		}
 	}
 }
 
-// turn begins a new window when the last one is over.
+// turn starts a new window if the current one has ended.
 func (c *Counter[M]) turn(now time.Duration) {
 	if age := now - c.began; age >= window {
 		if c.was = c.now; age >= 2*window {
@@ -61,8 +62,8 @@
 	}
 }
 
-// Hot lists the machines to which a key was sent that by itself made up a good part of what one of so many
-// machines gets, in the last whole window.
+// Hot lists the machines that received a hot key in the last complete window: a key whose requests alone made
+// up a large part of one machine's even share, given the number of machines.
 func (c *Counter[M]) Hot(now time.Duration, machines int) (hot []M) {
 	c.turn(now)
 	if c.was.total < least || machines < 2 {
--- a/internal/hotkeys/hotkeys_test.go
+++ b/internal/hotkeys/hotkeys_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestHot finds a key that makes up a fifth among thousands of others, at the machine that it goes to,
-// and none where all keys are alike or the windows are long past.
+// TestHot checks that a key with a fifth of all requests is found, among thousands of others, at its machine,
+// and that no key is hot if all are equally frequent or if the windows are long over.
 func TestHot(t *testing.T) {
 	for _, machines := range []int{4, 40, 200} {
 		var hot, even Counter[int]
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestHotAtSeveral covers a key that is spread over two machines of four: both hold it, whichever it went to
-// last. A machine that had a single request of it does not.
+// TestHotAtSeveral covers a key that is spread over two of four machines: both are reported, whichever got
+// the last request. A machine that received a single request with that key is not.
 func TestHotAtSeveral(t *testing.T) {
 	for last := range 2 {
 		var hot Counter[int]
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells which errors of system calls are of the moment and of this machine: the same call
-// may succeed soon, nothing has come of the one that failed, and nobody else is to blame. It is pure.
+// Package transient classifies errors of system calls as transient and local: the same call may succeed soon,
+// the failed call had no effect, and the cause is on this machine and not at a peer.
 package transient
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Transfer tells whether a read or write on a connection may be tried again.
+// Transfer reports whether a read or write on a connection may be retried.
 func Transfer(err error) bool {
 	return isOne(err, syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM)
 }
 
-// Opening tells whether a socket could not be had, connected or listened on for want of something on this
-// machine, or since its network is away.
+// Opening reports whether opening, connecting or listening on a socket failed because this machine lacks a
+// resource or its network is down.
 func Opening(err error) bool {
 	return Transfer(err) || isOne(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
 		syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM)
 }
 
-// Reading tells whether a file that can't be read now may be read soon.
+// Reading reports whether a file that could not be read may be readable soon.
 func Reading(err error) bool {
 	return isOne(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.EIO)
 }
 
-// Writing tells whether a file could not be written for a reason that may pass: nothing is wrong with what
-// it holds.
+// Writing reports whether a file could not be written for a transient reason, which leaves its content
+// intact.
 func Writing(err error) bool {
 	return Reading(err) || isOne(err, syscall.ENOSPC, syscall.EDQUOT, syscall.EROFS, syscall.EACCES,
 		syscall.EPERM, syscall.EFBIG)
@@ -41,10 +41,11 @@
 	return false
 }
 
-// retryPause is waited between two tries.
+// retryPause is the time between two attempts.
 const retryPause = 20 * time.Millisecond
 
-// Retry does something until it succeeds, fails for good, or has failed for so long.
+// Retry calls do until it succeeds, returns an error for which passes returns false, or the time within is
+// over. It returns the last error.
 func Retry(within time.Duration, passes func(error) bool, do func() error) error {
 	for by := time.Now().Add(within); ; time.Sleep(retryPause) {
 		err := do()
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,24 +1,24 @@
-// Package wallclock tells when the machine's wall clock was stepped. The proxy measures every span of time
-// by the monotonic clock, so a step must change nothing; operators want to see it all the same.
+// Package wallclock detects steps of the machine's wall clock. The proxy measures every duration with the
+// monotonic clock, so a step must not change its behaviour; it is reported to operators.
 package wallclock
 
 import "time"
 
-// Threshold is the least difference between two observations that counts as a step. A clock that is slewed
-// to the right time moves by less than that between two of them.
+// Threshold is the minimum change of the offset between the clocks, from one observation to the next, that
+// counts as a step. A slewed clock changes by less than that between two observations.
 const Threshold = 200 * time.Millisecond
 
-// Monitor compares the wall clock with the monotonic clock. The zero value is ready to use; it is not safe
-// for use from several goroutines.
+// Monitor compares the wall clock with the monotonic clock. The zero value is ready to use. A Monitor is not
+// safe for concurrent use.
 type Monitor struct {
 	offset  time.Duration
 	started bool
 	steps   uint64
 }
 
-// Observe takes in one reading of both clocks: the wall clock as Unix time, and the time since some fixed
-// moment by the monotonic clock. It returns by how much the wall clock was stepped since the last call,
-// 0 if it was not.
+// Observe records one reading of both clocks: the wall clock as Unix time, and the time elapsed on the
+// monotonic clock since a fixed instant. It returns the size of the wall clock's step since the last call, or
+// 0 if there was none.
 func (m *Monitor) Observe(unix, elapsed time.Duration) time.Duration {
 	offset := unix - elapsed
 	step := offset - m.offset
@@ -31,5 +31,5 @@
 	return step
 }
 
-// Steps is how many steps were seen.
+// Steps returns the number of steps detected so far.
 func (m *Monitor) Steps() uint64 { return m.steps }
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -9,7 +9,7 @@
 	const unix = 1_700_000_000 * time.Second
 	for _, tc := range []struct {
 		name string
-		wall []time.Duration // beside the monotonic clock, one second after the other
+		wall []time.Duration // error of the wall clock at one reading per second
 		want []time.Duration
 	}{
 		{"right", []time.Duration{0, 0, 0}, []time.Duration{0, 0, 0}},
