--- a/internal/hotkeys/hotkeys_test.go
+++ b/internal/hotkeys/hotkeys_test.go
@@ -17,20 +17,20 @@
 			if i%5 == 0 {
 				key = 7
 			}
-			hot.Sent(now, key%5000, int(key%5000)%machines)
-			even.Sent(now, uint64(i)%5000, i%machines)
+			hot.Record(now, key%5000, int(key%5000)%machines)
+			even.Record(now, uint64(i)%5000, i%machines)
 		}
 		if got := hot.Hot(4*time.Second, machines); len(got) != 1 || got[0] != 7%machines {
 			t.Errorf("%d machines: hot at %v, want %d", machines, got, 7%machines)
 		}
 		if got := even.Hot(4*time.Second, machines); len(got) > 0 {
-			t.Errorf("%d machines: hot at %v among keys that are alike", machines, got)
+			t.Errorf("%d machines: hot at %v among keys of equal frequency", machines, got)
 		}
 		if got := hot.Hot(time.Minute, machines); len(got) > 0 {
 			t.Errorf("hot a minute later: %v", got)
 		}
-		if len(hot.now.sent)+len(hot.was.sent) > 2*counters {
-			t.Error("more keys are counted than there is room for")
+		if len(hot.current.counts)+len(hot.previous.counts) > 2*maxCounters {
+			t.Error("more keys are counted than the limit")
 		}
 	}
 }
@@ -44,11 +44,11 @@
 			now := time.Duration(i) * 2 * time.Millisecond
 			switch {
 			case i == 500:
-				hot.Sent(now, 7, 2)
+				hot.Record(now, 7, 2)
 			case i%2 == 0:
-				hot.Sent(now, 7, (i/2+last)%2)
+				hot.Record(now, 7, (i/2+last)%2)
 			default:
-				hot.Sent(now, uint64(i), i%4)
+				hot.Record(now, uint64(i), i%4)
 			}
 		}
 		got := hot.Hot(3*time.Second, 4)
--- a/internal/proxystate/hops.go
+++ b/internal/proxystate/hops.go
@@ -22,7 +22,7 @@
 	r.sent++
 	r.branch = b
 	if s.work != nil && r.key != 0 {
-		s.work.keys.Sent(s.now, r.key, a.Server)
+		s.work.keys.Record(s.now, r.key, a.Server)
 	}
 	if s.cfg.Trace != nil {
 		s.trace("S %d.%d %x class %d heard %d", r.id, b.number, uint64(a.Server), r.class,
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -37,27 +37,27 @@
 func TestRetry(t *testing.T) {
 	broken := errors.New("broken")
 	for _, tc := range []struct {
-		fails []error
-		want  error
-		tries int
+		fails    []error
+		want     error
+		attempts int
 	}{
 		{nil, nil, 1},
 		{[]error{syscall.EMFILE, syscall.EMFILE}, nil, 3},
 		{[]error{syscall.EMFILE, broken}, broken, 2},
 	} {
-		tries := 0
+		attempts := 0
 		err := Retry(time.Minute, Opening, func() error {
-			tries++
-			if tries <= len(tc.fails) {
-				return tc.fails[tries-1]
+			attempts++
+			if attempts <= len(tc.fails) {
+				return tc.fails[attempts-1]
 			}
 			return nil
 		})
-		if err != tc.want || tries != tc.tries {
-			t.Errorf("%v: %v after %d tries, want %v after %d", tc.fails, err, tries, tc.want, tc.tries)
+		if err != tc.want || attempts != tc.attempts {
+			t.Errorf("%v: %v after %d attempts, want %v after %d", tc.fails, err, attempts, tc.want, tc.attempts)
 		}
 	}
 	if err := Retry(0, Opening, func() error { return syscall.EMFILE }); err != syscall.EMFILE {
-		t.Errorf("over: %v", err)
+		t.Errorf("no time left: %v", err)
 	}
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -11,9 +11,9 @@
 // Monitor compares the wall clock with the monotonic clock. The zero value is ready to use. A Monitor is not
 // safe for concurrent use.
 type Monitor struct {
-	offset  time.Duration
-	started bool
-	steps   uint64
+	offset   time.Duration
+	observed bool
+	steps    uint64
 }
 
 // Observe records one reading of both clocks: the wall clock as Unix time, and the time elapsed on the
@@ -22,8 +22,8 @@
 func (m *Monitor) Observe(unix, elapsed time.Duration) time.Duration {
 	offset := unix - elapsed
 	step := offset - m.offset
-	first := !m.started
-	m.offset, m.started = offset, true
+	first := !m.observed
+	m.offset, m.observed = offset, true
 	if first || step.Abs() < Threshold {
 		return 0
 	}
