--- a/cmd/lilalab/sockets.go
+++ b/cmd/lilalab/sockets.go
@@ -12,12 +12,12 @@
 
 	"github.com/spf13/cobra"
 
+	"lilacglade/internal/baselines"
+	"lilacglade/internal/emulator"
 	"lilacglade/internal/lab/sockets"
 	"lilacglade/internal/lab/virtual"
-	"lilacglade/internal/legs"
 	"lilacglade/internal/settings"
-	"lilacglade/internal/textbook"
-	"lilacglade/internal/world"
+	"lilacglade/internal/transport"
 )
 
 // program is the proxy of a sockets run, beside this program unless --program names another.
@@ -28,7 +28,7 @@
 
 // playSockets plays a scenario with real programs: lilacglade itself for the module, and this
 // program's own proxy, the same but for its decider, for a textbook policy.
-func playSockets(sc *world.Scenario, policy string, progress func(at, of time.Duration)) (*world.Result,
+func playSockets(sc *emulator.Scenario, policy string, progress func(at, of time.Duration)) (*emulator.Result,
 	error) {
 	me, err := os.Executable()
 	if err != nil {
@@ -74,21 +74,21 @@
 			if err != nil {
 				return err
 			}
-			decider, err := textbook.New(policy, node.Settings.Settings, node.Seed)
+			decider, err := baselines.New(policy, node.Settings.Settings, node.Seed)
 			if err != nil {
 				return err
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			reloads := make(chan legs.Load)
+			reloads := make(chan transport.Load)
 			go func() {
 				for range hups {
 					if n, err := settings.Reload(os.Getenv, node); err == nil {
-						reloads <- legs.Load{Node: n}
+						reloads <- transport.Load{Node: n}
 					}
 				}
 			}()
-			return legs.ServeBy(ctx, node, reloads, legs.Options{Decider: decider})
+			return transport.ServeBy(ctx, node, reloads, transport.Options{Decider: decider})
 		}}
 	c.Flags().StringVar(&policy, "policy", "", "the policy")
 	return c
--- a/internal/workplay/play_test.go
+++ b/internal/maintenancesim/play_test.go
@@ -1,4 +1,4 @@
-package workplay
+package maintenancesim
 
 import (
 	"flag"
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"lilacglade/internal/council"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/coordination"
+	"lilacglade/internal/maintenance"
 )
 
 var (
@@ -74,15 +74,15 @@
 		Step: func(state, in, out any) []any {
 			c, s := in.(*Call), state.(int)
 			may := s == given || s == paused
-			if c.Kind == workorder.Submit {
+			if c.Kind == maintenance.Submit {
 				may = s == unknown
 			}
-			next := map[workorder.Kind]int{workorder.Submit: given, workorder.Pause: paused, workorder.Resume: given,
-				workorder.Cancel: ended}[c.Kind]
+			next := map[maintenance.Kind]int{maintenance.Submit: given, maintenance.Pause: paused,
+				maintenance.Resume: given, maintenance.Cancel: ended}[c.Kind]
 			switch {
 			case !c.Known && may:
 				return []any{s, next}
-			case !c.Known, !c.Done && (!may || c.Kind == workorder.Submit): // its machines may be in another order
+			case !c.Known, !c.Done && (!may || c.Kind == maintenance.Submit): // its machines may be in another order
 				return []any{s}
 			case c.Done && may:
 				return []any{next}
@@ -106,7 +106,7 @@
 	for i, c := range calls {
 		op := porcupine.Operation{ClientId: i, Input: c, Call: int64(c.Began), Return: int64(c.Ended)}
 		if !c.Known {
-			op.Return = int64(council.Forever)
+			op.Return = int64(coordination.Forever)
 		}
 		history = append(history, op)
 	}
@@ -115,9 +115,9 @@
 
 // TestHistoryCheck shows that a history that makes no sense is found: an order paused after its end.
 func TestHistoryCheck(t *testing.T) {
-	good := []*Call{{Kind: workorder.Submit, Order: "o", Began: 1, Ended: 2, Known: true, Done: true},
-		{Kind: workorder.Cancel, Order: "o", Began: 3, Ended: 9, Known: true, Done: true},
-		{Kind: workorder.Pause, Order: "o", Began: 4, Ended: 8, Known: true, Done: true}}
+	good := []*Call{{Kind: maintenance.Submit, Order: "o", Began: 1, Ended: 2, Known: true, Done: true},
+		{Kind: maintenance.Cancel, Order: "o", Began: 3, Ended: 9, Known: true, Done: true},
+		{Kind: maintenance.Pause, Order: "o", Began: 4, Ended: 8, Known: true, Done: true}}
 	if !linearizable(good) {
 		t.Error("calls at once may go in either order")
 	}
@@ -128,7 +128,7 @@
 }
 
 // TestGuardsMatter takes one guard out at a time: some schedule must then break a promise, and be found.
-// Guards that only rare schedules need have tests of their own in council.
+// Guards that only rare schedules need have tests of their own in coordination.
 func TestGuardsMatter(t *testing.T) {
 	again := []int{13, 0, 6} // processes that start again, cut off
 	for name, cfg := range map[string]Config{
@@ -136,9 +136,9 @@
 		"clear":      {Seed: 1, Break: NoClear},
 		"disk":       {Seed: 1, Break: ForgetVotes},
 		"cut":        {Seed: 3, Break: NoCut},
-		"lead wait":  {Seed: 25, Without: council.LeadWait},
-		"lease wait": {Seed: 30, Without: council.LeaseWait},
-		"grace wait": {Seed: 318, Without: council.GraceWait},
+		"lead wait":  {Seed: 25, Without: coordination.LeadWait},
+		"lease wait": {Seed: 30, Without: coordination.LeaseWait},
+		"grace wait": {Seed: 318, Without: coordination.GraceWait},
 		"note":       {Seed: 1, Break: ForgetNote, Kinds: again},
 	} {
 		t.Run(name, func(t *testing.T) {
