--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -44,8 +44,8 @@
 // which legs are used again, and two from the textbook.
 var Pools = map[string]pool.Config{"own": {}, "oldest-first": {Order: pool.Oldest},
 	"least-used-first": {Order: pool.LeastUsed}, "eager": {Eager: true}, "unbounded": {Eager: true,
-		Trustful: true},
-	"fixed-2": {Eager: true, Trustful: true, Fixed: 2}}
+		NoLearning: true},
+	"fixed-2": {Eager: true, NoLearning: true, MaxPerServer: 2}}
 
 // longAgo is what a proxy's clock reads when the world's reads 0: servers that started long ago
 // have a start of 0, and nothing else has.
--- a/internal/listcalls/fleet_test.go
+++ b/internal/listcalls/fleet_test.go
@@ -195,12 +195,12 @@
 // start begins a process, as the reducer does: its first call follows in the schedule's time.
 func (f *fleet) start(ev fleetEvent) {
 	p := &f.processes[ev.proxy]
-	p.calls = New(Config{Asked: true, Every: f.Every, Grace: 250 * time.Millisecond, Me: ev.proxy,
-		Proxies: f.Proxies})
+	p.calls = New(Config{Polled: true, PollInterval: f.Every, DrainGrace: 250 * time.Millisecond,
+		Index: ev.proxy, Proxies: f.Proxies})
 	if p.up, p.started = true, f.now; ev.n == 0 {
 		p.since = 0
 	}
-	p.calls.Know(p.since > 0)
+	p.calls.SetVersionKnown(p.since > 0)
 	if p.heard == nil {
 		p.heard = make([]time.Duration, len(f.Changes))
 		for i := range p.heard {
@@ -208,7 +208,7 @@
 		}
 	}
 	f.tracef(ev.proxy, "process starts, knows version %d", p.since)
-	f.beginAt(ev.proxy, p.calls.First(f.now))
+	f.beginAt(ev.proxy, p.calls.FirstCall(f.now))
 }
 
 // kill ends a process: the service sees its connection close.
@@ -238,9 +238,9 @@
 func (f *fleet) issue(proxy int, c Call) {
 	p := &f.processes[proxy]
 	p.out = &fleetCall{proxy: proxy, life: p.life, number: c.Number, wait: c.Wait, since: p.since}
-	f.tracef(proxy, "call %d begins, may wait %v, is given up after %v", c.Number, c.Wait, c.GiveUp-f.now)
+	f.tracef(proxy, "call %d begins, may wait %v, is given up after %v", c.Number, c.Wait, c.Deadline-f.now)
 	f.add(fleetEvent{at: f.now + fleetWay, do: (*fleet).arrive, call: p.out})
-	f.add(fleetEvent{at: c.GiveUp, do: (*fleet).giveUp, call: p.out})
+	f.add(fleetEvent{at: c.Deadline, do: (*fleet).giveUp, call: p.out})
 }
 
 // giveUp has a call fall silent that is still out.
@@ -249,7 +249,7 @@
 		return
 	}
 	f.tracef(ev.call.proxy, "call %d is given up", ev.call.number)
-	if next, ok := f.processes[ev.call.proxy].calls.GiveUp(f.now, ev.call.number); ok {
+	if next, ok := f.processes[ev.call.proxy].calls.TimeOut(f.now, ev.call.number); ok {
 		f.abandon(ev.call)
 		f.issue(ev.call.proxy, next)
 	}
@@ -290,7 +290,7 @@
 			f.unheard--
 		}
 	}
-	a := Answer{Whole: f.whole(ev.call), Quiet: ev.n == ev.call.since, Known: true}
+	a := Answer{Full: f.whole(ev.call), Unchanged: ev.n == ev.call.since, VersionKnown: true}
 	p.since = ev.n
 	next := p.calls.Answered(f.now, a)
 	f.tracef(ev.call.proxy, "call %d is answered with version %d, the next one comes after %v",
@@ -521,7 +521,7 @@
 
 // reached is when a change could first be had from the service.
 func (f *fleet) reached(changed time.Duration) time.Duration {
-	if f.DownFor > 0 && changed >= f.Down-NewsBy && changed < f.back() {
+	if f.DownFor > 0 && changed >= f.Down-NotifiedAfter && changed < f.back() {
 		return f.back()
 	}
 	return changed
@@ -529,9 +529,9 @@
 
 func (l *lateness) add(took, at time.Duration, proxy int) {
 	l.Pairs++
-	if took > NewsBy {
+	if took > NotifiedAfter {
 		l.Late++
-		l.Sum += took - NewsBy
+		l.Sum += took - NotifiedAfter
 	}
 	if took > l.Most {
 		l.Most, l.At, l.Proxy = took, at, proxy
--- a/internal/listcalls/fleetnews_test.go
+++ b/internal/listcalls/fleetnews_test.go
@@ -18,7 +18,7 @@
 
 const (
 	fleetDrawnOutages = 3                      // beside the named ones, for each fleet
-	fleetAllAnswered  = NewsBy / 2             // a service is judged that can answer all proxies in this time
+	fleetAllAnswered  = NotifiedAfter / 2      // a service is judged that can answer all proxies in this time
 	fleetMostCost     = 110 * time.Millisecond // of an answer with the whole list
 	fleetMeasured     = 25 * second            // after the service's return
 )
--- a/internal/listcalls/lease.go
+++ b/internal/listcalls/lease.go
@@ -56,7 +56,7 @@
 // the time for asking.
 func (l *Lease) answered(now time.Duration) {
 	l.watch, l.call, l.most = 0, 0, 0
-	l.until = now + NewsBy - answerLag
+	l.until = now + NotifiedAfter - answerLag
 	if l.every > 0 {
 		l.until = min(l.until, now+l.every)
 	}
@@ -72,7 +72,7 @@
 // wait so long. What it misses counts as notified NewsBy after it fell silent, or after its wait, if that
 // is later, whatever becomes of the calls after it.
 func (l *Lease) silent(began, wait time.Duration) {
-	by := began + NewsBy
+	by := began + NotifiedAfter
 	switch {
 	case l.watch > 0:
 		by = max(by, began+wait+afterWait)
@@ -88,7 +88,7 @@
 // unreachable takes in that the service was out of reach at a moment: what it has counts as notified NewsBy
 // later at the earliest.
 func (l *Lease) unreachable(at time.Duration) {
-	least := NewsBy
+	least := NotifiedAfter
 	if l.every > 0 {
 		least = min(least, failedTimes*l.every)
 	}
--- a/internal/listcalls/listcalls.go
+++ b/internal/listcalls/listcalls.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// NewsBy is the time after which what the list service has counts as notified, though no call brought it.
-const NewsBy = 6 * time.Second
+// NotifiedAfter is the time after which what the list service has counts as notified, though no
+// call brought it.
+const NotifiedAfter = 6 * time.Second
 
 // Times of the calls.
 const (
@@ -54,28 +55,28 @@
 
 // Config is what the schedule goes by. It may change while a proxy runs.
 type Config struct {
-	Asked   bool          // the list comes only when asked for; else what the service has counts as notified
-	Every   time.Duration // the settings' time for asking; 0: they name none
-	Grace   time.Duration // in which a proxy must stop sending to a server that drains
-	Me      int           // this proxy's number,
-	Proxies int           // of so many
+	Polled       bool          // the list comes only when asked for; else what there is counts as notified
+	PollInterval time.Duration // the settings' time for asking; 0: they name none
+	DrainGrace   time.Duration // in which a proxy must stop sending to a server that drains
+	Index        int           // this proxy's number,
+	Proxies      int           // of so many
 }
 
 // Call is one call for the list.
 type Call struct {
-	Number int
-	Wait   time.Duration // that the service may wait for news; 0: it answers at once
-	GiveUp time.Duration // the moment at which the call has fallen silent
-	Anew   bool          // on a new connection: the call before it was given up
+	Number   int
+	Wait     time.Duration // that the service may wait for news; 0: it answers at once
+	Deadline time.Duration // the moment at which the call has fallen silent
+	NewConn  bool          // on a new connection: the call before it was given up
 }
 
 // Answer is what a call brought.
 type Answer struct {
-	Whole bool // the whole list, else changes
-	Quiet bool // there was no news
-	Known bool // from here on the version is known: the next call may wait for what changes
-	// Work is how long this process took to read the answer and take it in.
-	Work time.Duration
+	Full         bool // the whole list, else changes
+	Unchanged    bool // there was no news
+	VersionKnown bool // from here on the version is known: the next call may wait for what changes
+	// ProcessingTime is how long this process took to read the answer and take it in.
+	ProcessingTime time.Duration
 }
 
 // Schedule decides on the calls of one proxy. One is out at a time. New makes one; one goroutine owns it.
@@ -102,41 +103,41 @@
 
 // New returns the schedule of a proxy that has made no call.
 func New(cfg Config) *Schedule {
-	s := &Schedule{rng: rand.New(rand.NewPCG(uint64(cfg.Me), uint64(cfg.Proxies)))}
+	s := &Schedule{rng: rand.New(rand.NewPCG(uint64(cfg.Index), uint64(cfg.Proxies)))}
 	s.Configure(cfg)
 	return s
 }
 
 // Configure has the schedule go by other settings from the next call on.
-func (s *Schedule) Configure(cfg Config) { s.cfg, s.lease.every = cfg, cfg.Every }
+func (s *Schedule) Configure(cfg Config) { s.cfg, s.lease.every = cfg, cfg.PollInterval }
 
 // UsableUntil is the moment from which on nothing may be sent by the list. It is of no use where lists are
 // pushed.
 func (s *Schedule) UsableUntil() time.Duration { return s.lease.Until() }
 
-// Reached says that a connection for the call that is out has come up: if it is not answered, that does not
+// Connected says that a connection for the call that is out has come up: if it is not answered, that does not
 // show that the service is out of reach.
-func (s *Schedule) Reached() { s.reached = true }
+func (s *Schedule) Connected() { s.reached = true }
 
-// Out tells whether a call is out.
-func (s *Schedule) Out() bool { return s.out }
+// Pending tells whether a call is out.
+func (s *Schedule) Pending() bool { return s.out }
 
 // Number is the number of the call that is out, or was last.
 func (s *Schedule) Number() int { return s.number }
 
-// Know says whether the next call may wait for what changes: a version is known.
-func (s *Schedule) Know(version bool) { s.known = version }
+// SetVersionKnown says whether the next call may wait for what changes: a version is known.
+func (s *Schedule) SetVersionKnown(version bool) { s.known = version }
 
-// Move says that the list is asked for elsewhere from now on: what was out is nobody's any more.
-func (s *Schedule) Move(now time.Duration) {
+// AddressChanged says that the list is asked for elsewhere from now on: what was out is nobody's any more.
+func (s *Schedule) AddressChanged(now time.Duration) {
 	s.out, s.known, s.misses, s.silent, s.lag, s.lagKnown = false, false, 0, 0, 0, false
 	s.lease.moved(now)
 }
 
-// First tells when a process that starts makes its first call: soon where few proxies call, else at a
+// FirstCall tells when a process that starts makes its first call: soon where few proxies call, else at a
 // random moment within firstMost, since many may have started together. Until then the list that is known
 // may be used.
-func (s *Schedule) First(now time.Duration) time.Duration {
+func (s *Schedule) FirstCall(now time.Duration) time.Duration {
 	first := now + time.Duration(s.rng.Float64()*float64(min(s.allCalls(), firstMost)))
 	s.lease.known(first)
 	return first
@@ -154,13 +155,13 @@
 	s.number++
 	s.out, s.began = true, now
 	s.reached = s.number > 1 && !anew
-	c := Call{Number: s.number, Anew: anew, GiveUp: now + s.answerIn()}
+	c := Call{Number: s.number, NewConn: anew, Deadline: now + s.answerIn()}
 	if s.known {
 		c.Wait = s.waitFor()
 		// Guards against giving up a call that stands in the queue of a crowded service, which works on it
 		// all the same: there is time for that, since what a short watch misses counts NewsBy later.
 		if c.Wait > 0 {
-			c.GiveUp = now + max(c.Wait+s.silentAfter(), s.answerIn())
+			c.Deadline = now + max(c.Wait+s.silentAfter(), s.answerIn())
 		}
 		if s.misses == 0 {
 			s.lease.watched(now, c.Wait)
@@ -178,14 +179,14 @@
 	switch {
 	case s.silent > 0:
 		return 0
-	case s.misses > 0 && s.cfg.Asked:
+	case s.misses > 0 && s.cfg.Polled:
 		return min(s.every(), waitFailed)
 	}
 	return s.nextWait()
 }
 
-// GiveUp says that the time of a call has come, and makes the next one if it is still out.
-func (s *Schedule) GiveUp(now time.Duration, number int) (Call, bool) {
+// TimeOut says that the time of a call has come, and makes the next one if it is still out.
+func (s *Schedule) TimeOut(now time.Duration, number int) (Call, bool) {
 	if !s.out || s.number != number {
 		return Call{}, false
 	}
@@ -211,8 +212,8 @@
 		s.held = max(s.held, took)
 	}
 	switch {
-	case !s.cfg.Asked:
-		return now + max(pausePushed, s.cfg.Grace/graceParts)
+	case !s.cfg.Polled:
+		return now + max(pausePushed, s.cfg.DrainGrace/graceParts)
 	case s.misses == 1:
 		return now + s.inTime(now, s.turn(min(s.allCalls(), s.apart())))
 	}
@@ -244,8 +245,8 @@
 	crowded := s.crowded
 	s.out, s.crowded, s.silent, s.misses = false, false, 0, 0
 	s.lease.answered(now)
-	s.known = a.Known
-	s.spread = s.spread && a.Quiet
+	s.known = a.VersionKnown
+	s.spread = s.spread && a.Unchanged
 	next := s.began + pauseAnswered
 	switch {
 	case crowded && s.crowd():
@@ -253,7 +254,7 @@
 	case s.missed > 0 && now-s.missed < s.every():
 		next = s.began + pauseSoon
 	}
-	return max(now+min(workParts*a.Work, workMost), next)
+	return max(now+min(workParts*a.ProcessingTime, workMost), next)
 }
 
 // crowd tells whether the calls of all proxies keep the service busy for longer than a drain's grace.
@@ -261,9 +262,9 @@
 // without a call.
 func (s *Schedule) crowd() bool {
 	if s.cost == 0 {
-		return s.cfg.Asked && s.allCalls() > NewsBy
+		return s.cfg.Polled && s.allCalls() > NotifiedAfter
 	}
-	return s.cfg.Asked && s.allCalls() > cmp.Or(s.cfg.Grace, graceUsual)
+	return s.cfg.Polled && s.allCalls() > cmp.Or(s.cfg.DrainGrace, graceUsual)
 }
 
 // whenCrowded is the time from one call to the next where the service can't answer all proxies in a
@@ -299,11 +300,11 @@
 // before half is left.
 func (s *Schedule) seen(took time.Duration, a Answer) {
 	switch {
-	case a.Whole, s.wait == 0:
+	case a.Full, s.wait == 0:
 		if s.cost == 0 || took < s.cost {
 			s.cost = max(took, costLeast)
 		}
-	case a.Quiet && took >= s.wait-waitSlack:
+	case a.Unchanged && took >= s.wait-waitSlack:
 		took = max(0, took-s.wait)
 	default: // news came at some time within the wait
 		if !s.lagKnown {
@@ -321,7 +322,7 @@
 
 // turn is this proxy's part of a time over which those of all proxies are spread.
 func (s *Schedule) turn(over time.Duration) time.Duration {
-	return over * time.Duration(s.cfg.Me) / time.Duration(max(1, s.cfg.Proxies))
+	return over * time.Duration(s.cfg.Index) / time.Duration(max(1, s.cfg.Proxies))
 }
 
 // jitter is a time drawn from around one. Guards against proxies whose calls keep step: a service that
@@ -332,10 +333,10 @@
 
 // every is how long a watch may wait.
 func (s *Schedule) every() time.Duration {
-	if !s.cfg.Asked {
+	if !s.cfg.Polled {
 		return waitPushed
 	}
-	return cmp.Or(s.cfg.Every, waitUsual)
+	return cmp.Or(s.cfg.PollInterval, waitUsual)
 }
 
 // nextWait is how long the next watch may wait. Guards against all proxies' calls in step, for more than
@@ -344,10 +345,10 @@
 // one: the spread stays.
 func (s *Schedule) nextWait() time.Duration {
 	every := s.every()
-	if !s.cfg.Asked || s.spread {
+	if !s.cfg.Polled || s.spread {
 		return every
 	}
 	s.spread = true
-	part := float64(s.cfg.Me+1) / float64(max(1, s.cfg.Proxies))
+	part := float64(s.cfg.Index+1) / float64(max(1, s.cfg.Proxies))
 	return time.Duration((waitLeast + (1-waitLeast)*part) * float64(every))
 }
--- a/internal/listcalls/listcalls_test.go
+++ b/internal/listcalls/listcalls_test.go
@@ -22,11 +22,11 @@
 func heard(t *testing.T, cfg Config, s service, until time.Duration) time.Duration {
 	t.Helper()
 	calls := New(cfg)
-	calls.Know(true)
-	now := calls.First(0)
+	calls.SetVersionKnown(true)
+	now := calls.FirstCall(0)
 	c, _ := calls.Begin(now)
 	for now < until {
-		ends, answered := c.GiveUp, false
+		ends, answered := c.Deadline, false
 		switch {
 		case s.silent != nil && s.silent(c.Number):
 		case s.down != nil && s.down(now):
@@ -36,7 +36,7 @@
 			if s.changed <= at {
 				at = max(now, s.changed)
 			}
-			if at += s.late; at <= c.GiveUp {
+			if at += s.late; at <= c.Deadline {
 				ends, answered = at, true
 			}
 		}
@@ -51,11 +51,11 @@
 		case answered && now >= s.changed:
 			return now
 		case answered:
-			now = calls.Answered(now, Answer{Quiet: true, Known: true})
+			now = calls.Answered(now, Answer{Unchanged: true, VersionKnown: true})
 		case broke, s.down != nil && s.down(now):
 			now = calls.Failed(now)
 		default:
-			next, ok := calls.GiveUp(now, c.Number)
+			next, ok := calls.TimeOut(now, c.Number)
 			if !ok {
 				t.Fatal("a call that is out was not given up")
 			}
@@ -79,14 +79,14 @@
 	const start, margin = 60 * second, second
 	for _, proxies := range []int{1, 2, 3, 4, 6, 8, 12, 16, 20, 24, 25, 40, 83, 300} {
 		for me := range proxies {
-			cfg := Config{Asked: true, Every: 10 * second, Grace: 250 * time.Millisecond,
-				Me: me, Proxies: proxies}
+			cfg := Config{Polled: true, PollInterval: 10 * second, DrainGrace: 250 * time.Millisecond,
+				Index: me, Proxies: proxies}
 			for _, outage := range []time.Duration{20 * time.Millisecond, second, 3 * second, 4 * second, 8 * second,
 				13 * second, 30 * second, 60 * second, 10 * time.Minute} {
 				back := start + outage
 				got := heard(t, cfg, service{down: between(start, back), changed: back}, back+20*second)
-				if got-back > NewsBy-margin {
-					t.Errorf("%d of %d, down for %v: heard %v after it was back", cfg.Me, proxies, outage, got-back)
+				if got-back > NotifiedAfter-margin {
+					t.Errorf("%d of %d, down for %v: heard %v after it was back", cfg.Index, proxies, outage, got-back)
 				}
 			}
 		}
@@ -104,12 +104,13 @@
 				if row == 2 && proxies >= 60 {
 					continue // watches of so many are given up later: the lease ends first
 				}
-				cfg := Config{Asked: true, Every: every, Grace: 250 * time.Millisecond, Me: proxies / 2, Proxies: proxies}
+				cfg := Config{Polled: true, PollInterval: every, DrainGrace: 250 * time.Millisecond,
+					Index: proxies / 2, Proxies: proxies}
 				for first := 2; first < 5; first++ {
 					silent := func(call int) bool { return call >= first && call < first+row }
 					began, wait := callAt(cfg, first)
 					changed := began + wait/4
-					by := max(changed+NewsBy, began+wait+2*second)
+					by := max(changed+NotifiedAfter, began+wait+2*second)
 					got := heard(t, cfg, service{silent: silent, changed: changed}, time.Hour)
 					if got > by-200*time.Millisecond {
 						t.Errorf("every %v, %d proxies, %d silent from call %d: heard %v after it counts", every, proxies, row,
@@ -124,14 +125,14 @@
 // callAt is when a call begins that only quiet ones came before, and how long it waits.
 func callAt(cfg Config, number int) (began, wait time.Duration) {
 	calls := New(cfg)
-	calls.Know(true)
-	now := calls.First(0)
+	calls.SetVersionKnown(true)
+	now := calls.FirstCall(0)
 	for {
 		c, _ := calls.Begin(now)
 		if c.Number == number {
 			return now, c.Wait
 		}
-		now = calls.Answered(now+c.Wait, Answer{Quiet: true, Known: true})
+		now = calls.Answered(now+c.Wait, Answer{Unchanged: true, VersionKnown: true})
 	}
 }
 
@@ -141,7 +142,7 @@
 	for _, late := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2 * second,
 		3500 * time.Millisecond} {
 		for _, proxies := range []int{1, 4, 60, 300} {
-			cfg := Config{Asked: true, Every: 10 * second, Me: proxies - 1, Proxies: proxies}
+			cfg := Config{Polled: true, PollInterval: 10 * second, Index: proxies - 1, Proxies: proxies}
 			if got := heard(t, cfg, service{late: late, changed: 30 * second}, 2*time.Minute); got > 60*second {
 				t.Errorf("%d proxies, answers after %v: heard at %v", proxies, late, got)
 			}
@@ -158,8 +159,8 @@
 	for _, proxies := range []int{60, 150, 300, 900} {
 		var begun [seconds]int
 		for me := range proxies {
-			calls := New(Config{Asked: true, Every: 10 * second, Me: me, Proxies: proxies})
-			calls.Know(true)
+			calls := New(Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies})
+			calls.SetVersionKnown(true)
 			calls.Begin(0)
 			for now := calls.Failed(5 * second); now < seconds*second; now = calls.Failed(now + 2*second) {
 				begun[now/second]++
@@ -176,10 +177,10 @@
 			}
 		}
 		for _, me := range []int{0, proxies / 2, proxies - 1} {
-			cfg := Config{Asked: true, Every: 10 * second, Me: me, Proxies: proxies}
+			cfg := Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies}
 			back := 90 * second
 			got := heard(t, cfg, service{down: between(60*second, back), changed: back}, back+20*second)
-			if got-back > NewsBy {
+			if got-back > NotifiedAfter {
 				t.Errorf("%d of %d proxies: heard %v after the service was back", me, proxies, got-back)
 			}
 		}
@@ -190,7 +191,7 @@
 func TestPushed(t *testing.T) {
 	for _, tc := range []struct{ grace, most time.Duration }{{250 * time.Millisecond, 90 * time.Millisecond},
 		{0, 25 * time.Millisecond}, {second, 350 * time.Millisecond}} {
-		calls := New(Config{Grace: tc.grace, Proxies: 300, Me: 299})
+		calls := New(Config{DrainGrace: tc.grace, Proxies: 300, Index: 299})
 		now := time.Duration(0)
 		for range 10 {
 			calls.Begin(now)
@@ -209,36 +210,37 @@
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		proxies := 1 + rng.IntN(900)
-		cfg := Config{Asked: rng.IntN(4) > 0, Every: time.Duration(rng.IntN(20)) * second,
-			Grace: time.Duration(rng.IntN(1000)) * time.Millisecond, Me: rng.IntN(proxies), Proxies: proxies}
+		cfg := Config{Polled: rng.IntN(4) > 0, PollInterval: time.Duration(rng.IntN(20)) * second,
+			DrainGrace: time.Duration(rng.IntN(1000)) * time.Millisecond, Index: rng.IntN(proxies), Proxies: proxies}
 		calls := New(cfg)
-		now := calls.First(second)
+		now := calls.FirstCall(second)
 		for range 200 {
-			if calls.Know(rng.IntN(3) > 0); rng.IntN(40) == 0 {
-				calls.Move(now)
+			if calls.SetVersionKnown(rng.IntN(3) > 0); rng.IntN(40) == 0 {
+				calls.AddressChanged(now)
 			}
 			c, ok := calls.Begin(now)
-			if !ok || c.GiveUp <= now || c.GiveUp < now+c.Wait {
+			if !ok || c.Deadline <= now || c.Deadline < now+c.Wait {
 				t.Fatalf("seed %d: %+v, %t at %v", seed, c, ok, now)
 			}
 			if _, ok := calls.Begin(now); ok {
 				t.Fatalf("seed %d: two calls are out", seed)
 			}
-			if _, ok := calls.GiveUp(now, c.Number-1); ok {
+			if _, ok := calls.TimeOut(now, c.Number-1); ok {
 				t.Fatalf("seed %d: an older call was given up", seed)
 			}
 			for rng.IntN(4) == 0 {
-				now = c.GiveUp
-				c, _ = calls.GiveUp(now, c.Number)
+				now = c.Deadline
+				c, _ = calls.TimeOut(now, c.Number)
 			}
-			ended := now + time.Duration(rng.Int64N(int64(c.GiveUp-now)+1))
+			ended := now + time.Duration(rng.Int64N(int64(c.Deadline-now)+1))
 			next := ended
 			if rng.IntN(2) == 0 {
 				next = calls.Failed(ended)
 			} else {
-				next = calls.Answered(ended, Answer{Whole: rng.IntN(2) == 0, Quiet: rng.IntN(2) == 0, Known: true})
+				next = calls.Answered(ended, Answer{Full: rng.IntN(2) == 0, Unchanged: rng.IntN(2) == 0,
+					VersionKnown: true})
 			}
-			most := NewsBy - 2*second
+			most := NotifiedAfter - 2*second
 			if next < ended || next-ended > most {
 				t.Fatalf("seed %d: the next call is %v after the last one's end", seed, next-ended)
 			}
@@ -262,16 +264,16 @@
 		"slow":               {lag: 700 * time.Millisecond, seen: true, want: 2800 * time.Millisecond},
 		"very slow":          {lag: 3 * second, seen: true, want: answerMost},
 	} {
-		calls := New(Config{Asked: true, Every: 10 * second, Me: 1, Proxies: 6})
-		calls.Know(true)
+		calls := New(Config{Polled: true, PollInterval: 10 * second, Index: 1, Proxies: 6})
+		calls.SetVersionKnown(true)
 		c, _ := calls.Begin(0)
 		now := time.Duration(0)
 		if tc.seen {
-			now = calls.Answered(c.Wait+tc.lag, Answer{Quiet: true, Known: true})
+			now = calls.Answered(c.Wait+tc.lag, Answer{Unchanged: true, VersionKnown: true})
 			c, _ = calls.Begin(now)
 		}
-		check, _ := calls.GiveUp(c.GiveUp, c.Number)
-		if got := check.GiveUp - c.GiveUp; check.Wait != 0 || got != tc.want {
+		check, _ := calls.TimeOut(c.Deadline, c.Number)
+		if got := check.Deadline - c.Deadline; check.Wait != 0 || got != tc.want {
 			t.Errorf("%s: the check waits %v and is given up after %v, want %v", name, check.Wait, got, tc.want)
 		}
 	}
@@ -281,8 +283,8 @@
 // and one that is shorter than a watch goes on without a call.
 func TestWorkLeavesTimeForRequests(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		calls := New(Config{Asked: true, Every: 10 * second, Me: 1, Proxies: 6})
-		calls.Know(true)
+		calls := New(Config{Polled: true, PollInterval: 10 * second, Index: 1, Proxies: 6})
+		calls.SetVersionKnown(true)
 		now := time.Duration(second)
 		calls.Begin(now)
 		if failed {
@@ -290,7 +292,7 @@
 			calls.Begin(now)
 		}
 		now += 10 * time.Millisecond
-		next := calls.Answered(now, Answer{Whole: true, Known: true, Work: 40 * time.Millisecond})
+		next := calls.Answered(now, Answer{Full: true, VersionKnown: true, ProcessingTime: 40 * time.Millisecond})
 		if pause := next - now; pause < 100*time.Millisecond || pause >= 200*time.Millisecond {
 			t.Errorf("failed before %t: the next call comes %v after", failed, pause)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,18 +12,18 @@
 	lg "lilacglade"
 )
 
-// LegID numbers a leg. Numbers are never used twice.
-type LegID uint64
+// ConnID numbers a leg. Numbers are never used twice.
+type ConnID uint64
 
 // Config is what a Pool knows from its start on.
 type Config struct {
-	Most int           // legs held at once, over all next hops
-	Idle time.Duration // an idle leg is closed after this at the latest
+	MaxConns    int           // legs held at once, over all next hops
+	IdleTimeout time.Duration // an idle leg is closed after this at the latest
 	// What the lab plays beside the pool's own ways; the proxy leaves all of it out.
-	Order    Order
-	Eager    bool // each branch that finds no idle leg has one opened
-	Trustful bool // nothing is learned of legs dropped in silence, nor of openings that fail
-	Fixed    int  // legs of a next hop at most; 0: no such bound
+	Order        Order
+	Eager        bool // each branch that finds no idle leg has one opened
+	NoLearning   bool // nothing is learned of legs dropped in silence, nor of openings that fail
+	MaxPerServer int  // legs of a next hop at most; 0: no such bound
 }
 
 // Order is the order in which idle legs are used again.
@@ -36,33 +36,33 @@
 	LeastUsed
 )
 
-// Do says what an Act asks for.
-type Do uint8
+// ActionKind says what an Act asks for.
+type ActionKind uint8
 
 // The acts.
 const (
-	Open   Do = iota // open Leg; Opened follows, or Drop. Ticket is the branch it is opened for, zero when ahead
-	Close            // close Leg, which the pool has forgotten
-	Give             // Leg is Ticket's until Free, Drop or Lost
-	Refuse           // Ticket gets no leg: it can't be opened, or its next hop takes nothing new
+	Open   ActionKind = iota // open Conn; Opened follows, or Drop. Ticket waits for it, zero when ahead
+	Close                    // close Leg, which the pool has forgotten
+	Assign                   // Leg is Ticket's until Free, Drop or Lost
+	Refuse                   // Ticket gets no leg: it can't be opened, or its next hop takes nothing new
 )
 
-// Opening is how the opening of a leg went.
-type Opening uint8
+// OpenResult is how the opening of a leg went.
+type OpenResult uint8
 
 // The ways. A LocalFault is this machine's own: it says nothing of the next hop.
 const (
-	OpenFailed Opening = iota
+	OpenFailed OpenResult = iota
 	OpenOK
 	OpenLocalFault
 )
 
-// Act is something to be done. Which fields count depends on Do.
-type Act[T comparable] struct {
-	Do     Do
-	Leg    *Leg[T]
-	Ticket T
-	Local  bool // Refuse: for a fault of this machine
+// Action is something to be done. Which fields count depends on Do.
+type Action[T comparable] struct {
+	Kind       ActionKind
+	Conn       *Conn[T]
+	Ticket     T
+	LocalFault bool // Refuse: for a fault of this machine
 }
 
 // phase is where a leg stands.
@@ -76,34 +76,34 @@
 	closed
 )
 
-// Leg is a connection to a next hop.
-type Leg[T comparable] struct {
-	ID     LegID
-	Hop    *Hop[T]
-	Rested time.Duration // how long it was idle before it was given the last time; 0 when just opened
-	phase  phase
-	since  time.Duration // start of the phase
-	uses   int
+// Conn is a connection to a next hop.
+type Conn[T comparable] struct {
+	ID      ConnID
+	Server  *Server[T]
+	IdleFor time.Duration // how long it was idle before it was given the last time; 0 when just opened
+	phase   phase
+	since   time.Duration // start of the phase
+	uses    int
 }
 
 // State is what the server list says of the next hop.
-func (h *Hop[T]) State() lg.State { return h.state }
+func (h *Server[T]) State() lg.State { return h.state }
 
 // Opening tells whether it has not come up yet.
-func (l *Leg[T]) Opening() bool { return l.phase == opening }
+func (l *Conn[T]) Opening() bool { return l.phase == opening }
 
 // Idle tells whether it is nobody's.
-func (l *Leg[T]) Idle() bool { return l.phase == idle }
+func (l *Conn[T]) Idle() bool { return l.phase == idle }
 
-// Hop is a next hop.
-type Hop[T comparable] struct {
+// Server is a next hop.
+type Server[T comparable] struct {
 	ID      lg.ServerID
 	state   lg.State
-	idle    []*Leg[T] // newest last
-	waiting []T       // oldest first
+	idle    []*Conn[T] // newest last
+	waiting []T        // oldest first
 	opening int
 	rest    rest
-	doubted *Leg[T] // given although it has rested for longer than is proved
+	doubted *Conn[T] // given although it has rested for longer than is proved
 
 	answered time.Duration // when it last answered, on any leg
 	legs     int           // of its, being opened or open
@@ -117,40 +117,40 @@
 
 // Pool is the legs to all next hops. New makes one; one goroutine owns it.
 type Pool[T comparable] struct {
-	Acts  []Act[T] // to be done; whoever does them empties it
-	cfg   Config
-	hops  map[lg.ServerID]*Hop[T]
-	legs  int
-	last  LegID
-	trust trust
-	limit time.Duration // an idle leg is closed after this, as far as is known
-
-	fresh   float64 // legs lost lately that had hardly rested
-	lostHop *Hop[T] // the next hop that last lost a rested leg, and when
+	Actions []Action[T] // to be done; whoever does them empties it
+	cfg     Config
+	hops    map[lg.ServerID]*Server[T]
+	legs    int
+	last    ConnID
+	trust   trust
+	limit   time.Duration // an idle leg is closed after this, as far as is known
+
+	fresh   float64    // legs lost lately that had hardly rested
+	lostHop *Server[T] // the next hop that last lost a rested leg, and when
 	lostAt  time.Duration
 }
 
 // New returns an empty Pool.
 func New[T comparable](cfg Config) *Pool[T] {
-	return &Pool[T]{cfg: cfg, hops: map[lg.ServerID]*Hop[T]{}, limit: cfg.Idle}
+	return &Pool[T]{cfg: cfg, hops: map[lg.ServerID]*Server[T]{}, limit: cfg.IdleTimeout}
 }
 
-// Limit sets how many legs may be held at once from now on. Idle ones beyond are closed at once, the
+// SetMaxConns sets how many legs may be held at once from now on. Idle ones beyond are closed at once, the
 // longest idle first.
-func (p *Pool[T]) Limit(most int) {
-	p.cfg.Most = most
+func (p *Pool[T]) SetMaxConns(most int) {
+	p.cfg.MaxConns = most
 	for held := p.legs + 1; p.legs > most && p.legs < held; {
 		held = p.legs
 		p.room()
 	}
 }
 
-// Hop is a next hop; one that the server list does not name takes nothing.
-func (p *Pool[T]) Hop(id lg.ServerID) *Hop[T] {
+// Server is a next hop; one that the server list does not name takes nothing.
+func (p *Pool[T]) Server(id lg.ServerID) *Server[T] {
 	if h := p.hops[id]; h != nil {
 		return h
 	}
-	return &Hop[T]{ID: id, state: lg.Gone}
+	return &Server[T]{ID: id, state: lg.Gone}
 }
 
 // Ready tells whether there is a next hop that takes requests.
@@ -173,27 +173,27 @@
 	return len(p.hops), draining
 }
 
-// Hops lists the next hops, by id.
-func (p *Pool[T]) Hops() []*Hop[T] {
-	all := make([]*Hop[T], 0, len(p.hops))
+// Servers lists the next hops, by id.
+func (p *Pool[T]) Servers() []*Server[T] {
+	all := make([]*Server[T], 0, len(p.hops))
 	for _, h := range p.hops {
 		all = append(all, h)
 	}
-	slices.SortFunc(all, func(a, b *Hop[T]) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b *Server[T]) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (p *Pool[T]) do(a Act[T]) { p.Acts = append(p.Acts, a) }
+func (p *Pool[T]) do(a Action[T]) { p.Actions = append(p.Actions, a) }
 
-// Told notes what the server list says of a next hop. One that takes nothing new needs no idle legs, and who
-// waits for one hears at once: there is time for another next hop.
-func (p *Pool[T]) Told(id lg.ServerID, state lg.State) {
+// SetServerState notes what the server list says of a next hop. One that takes nothing new needs no idle legs,
+// and who waits for one hears at once: there is time for another next hop.
+func (p *Pool[T]) SetServerState(id lg.ServerID, state lg.State) {
 	h := p.hops[id]
 	if h == nil {
 		if state == lg.Gone {
 			return
 		}
-		h = &Hop[T]{ID: id, rest: rest{proved: p.cfg.Idle}}
+		h = &Server[T]{ID: id, rest: rest{proved: p.cfg.IdleTimeout}}
 		p.hops[id] = h
 	}
 	if h.state = state; state == lg.Ready {
@@ -201,7 +201,7 @@
 	}
 	p.empty(h, byList)
 	for _, t := range h.waiting {
-		p.do(Act[T]{Do: Refuse, Ticket: t})
+		p.do(Action[T]{Kind: Refuse, Ticket: t})
 	}
 	h.waiting = nil
 	if state == lg.Gone {
@@ -210,21 +210,21 @@
 }
 
 // empty closes the idle legs of a next hop.
-func (p *Pool[T]) empty(h *Hop[T], why int) {
+func (p *Pool[T]) empty(h *Server[T], why int) {
 	for len(h.idle) > 0 {
 		p.drop(h.idle[0], why)
 	}
 }
 
-// Want asks for a leg: the newest idle one that is trusted, or one that is opened. A careful ticket,
+// Acquire asks for a leg: the newest idle one that is trusted, or one that is opened. A careful ticket,
 // whose request must not be lost, gets none that is in doubt while another can be opened.
-func (p *Pool[T]) Want(now time.Duration, h *Hop[T], t T, careful bool) {
+func (p *Pool[T]) Acquire(now time.Duration, h *Server[T], t T, careful bool) {
 	h.pace.asked++
 	if h.state != lg.Ready {
-		p.do(Act[T]{Do: Refuse, Ticket: t})
+		p.do(Action[T]{Kind: Refuse, Ticket: t})
 		return
 	}
-	var doubtful *Leg[T]
+	var doubtful *Conn[T]
 	if len(h.idle) > 0 {
 		l := p.next(h)
 		switch rested := now - l.since; {
@@ -256,14 +256,14 @@
 			p.doubt(now, h, doubtful, t)
 			return
 		}
-		p.do(Act[T]{Do: Refuse, Ticket: t})
+		p.do(Action[T]{Kind: Refuse, Ticket: t})
 		return
 	}
 	h.waiting = append(h.waiting, t)
 }
 
 // next is the idle leg to be used next.
-func (p *Pool[T]) next(h *Hop[T]) *Leg[T] {
+func (p *Pool[T]) next(h *Server[T]) *Conn[T] {
 	l := h.idle[len(h.idle)-1]
 	switch p.cfg.Order {
 	case Oldest:
@@ -279,17 +279,17 @@
 }
 
 // take takes a leg from the idle ones, in order.
-func (p *Pool[T]) take(h *Hop[T], l *Leg[T]) {
+func (p *Pool[T]) take(h *Server[T], l *Conn[T]) {
 	if n := len(h.idle); h.idle[n-1] == l {
 		h.idle = h.idle[:n-1]
 		return
 	}
-	h.idle = slices.DeleteFunc(h.idle, func(o *Leg[T]) bool { return o == l })
+	h.idle = slices.DeleteFunc(h.idle, func(o *Conn[T]) bool { return o == l })
 }
 
 // open opens a leg, unless that has failed just now, the next hop has its part of the legs already,
 // or there is no descriptor.
-func (p *Pool[T]) open(now time.Duration, h *Hop[T], t T) bool {
+func (p *Pool[T]) open(now time.Duration, h *Server[T], t T) bool {
 	if h.state != lg.Ready || now < h.openAt || h.legs >= p.part() || h.cap > 0 && h.legs >= h.cap || !p.room() {
 		return false
 	}
@@ -298,17 +298,17 @@
 	h.legs++
 	p.last++
 	p.legs++
-	p.do(Act[T]{Do: Open, Leg: &Leg[T]{ID: p.last, Hop: h, since: now}, Ticket: t})
+	p.do(Action[T]{Kind: Open, Conn: &Conn[T]{ID: p.last, Server: h, since: now}, Ticket: t})
 	return true
 }
 
 // busy is how many legs are in use.
-func (h *Hop[T]) busy() int { return h.legs - h.opening - len(h.idle) }
+func (h *Server[T]) busy() int { return h.legs - h.opening - len(h.idle) }
 
 // sooner tells whether the last of so many tickets that lack a leg is expected to get one that is in
 // use before a new one would be of use to it. Guards against a storm of openings: where answers come
 // faster than connections do, each costs the next hop more work than it saves anybody time.
-func (p *Pool[T]) sooner(h *Hop[T], lacks int) bool {
+func (p *Pool[T]) sooner(h *Server[T], lacks int) bool {
 	busy := h.busy()
 	if p.cfg.Eager || busy <= 0 {
 		return false
@@ -320,58 +320,59 @@
 // costs. Exchanges differ, and one that has taken long already will most likely take longer still.
 const waitParts = 4
 
-// Lacks tells whether more tickets wait than legs are being opened.
-func (h *Hop[T]) Lacks() bool { return len(h.waiting) > h.opening }
+// HasUnservedWaiters tells whether more tickets wait than legs are being opened.
+func (h *Server[T]) HasUnservedWaiters() bool { return len(h.waiting) > h.opening }
 
-// Patience is how long a ticket that waits for a leg in use does so before Press is worth a call.
-func (h *Hop[T]) Patience() time.Duration { return h.pace.price() / 2 }
+// WaitTimeout is how long a ticket that waits for a leg in use does so before Press is worth a call.
+func (h *Server[T]) WaitTimeout() time.Duration { return h.pace.price() / 2 }
 
-// Press opens legs for the tickets that wait for legs in use, which are late: they may never come back.
-func (p *Pool[T]) Press(now time.Duration, h *Hop[T]) {
+// OpenForWaiters opens legs for the tickets that wait for legs in use, which are late: they may never
+// come back.
+func (p *Pool[T]) OpenForWaiters(now time.Duration, h *Server[T]) {
 	for len(h.waiting) > h.opening && p.open(now, h, h.waiting[h.opening]) {
 	}
 }
 
 // ahead opens a leg before it is wanted, when the last idle one was taken and traffic wants more.
-func (p *Pool[T]) ahead(now time.Duration, h *Hop[T]) {
-	if p.cfg.Eager || len(h.idle) > 0 || h.opening > 0 || p.legs >= p.cfg.Most || h.legs >= h.pace.want() {
+func (p *Pool[T]) ahead(now time.Duration, h *Server[T]) {
+	if p.cfg.Eager || len(h.idle) > 0 || h.opening > 0 || p.legs >= p.cfg.MaxConns || h.legs >= h.pace.want() {
 		return
 	}
 	var nobody T
 	if p.open(now, h, nobody) {
-		h.Counts.Ahead++
+		h.Counts.OpenedAhead++
 	}
 }
 
-// Capped says that a next hop turned away the first request on a leg and closed it: it holds as many
-// as it accepts. Of these this proxy's are so many.
-func (p *Pool[T]) Capped(now time.Duration, l *Leg[T]) {
-	if h := l.Hop; l.uses == 1 && !p.cfg.Trustful {
+// ConnLimitReached says that a next hop turned away the first request on a leg and closed it: it holds as
+// many as it accepts. Of these this proxy's are so many.
+func (p *Pool[T]) ConnLimitReached(now time.Duration, l *Conn[T]) {
+	if h := l.Server; l.uses == 1 && !p.cfg.NoLearning {
 		h.cap, h.capAt = max(1, h.legs-1), now
 	}
 }
 
 // stranded sees to tickets that wait for legs in use when none is in use any more.
-func (p *Pool[T]) stranded(now time.Duration, h *Hop[T]) {
+func (p *Pool[T]) stranded(now time.Duration, h *Server[T]) {
 	for len(h.waiting) > h.opening && h.busy() <= 0 {
 		t := h.waiting[h.opening]
 		if p.open(now, h, t) {
 			continue
 		}
 		h.waiting = slices.Delete(h.waiting, h.opening, h.opening+1)
-		p.do(Act[T]{Do: Refuse, Ticket: t})
+		p.do(Action[T]{Kind: Refuse, Ticket: t})
 	}
 }
 
 // part is how many legs one next hop may hold. Guards against one that hangs and takes them all.
 func (p *Pool[T]) part() int {
-	if p.cfg.Fixed > 0 {
-		return p.cfg.Fixed
+	if p.cfg.MaxPerServer > 0 {
+		return p.cfg.MaxPerServer
 	}
 	if len(p.hops) < 2 {
-		return p.cfg.Most
+		return p.cfg.MaxConns
 	}
-	return max(1, p.cfg.Most/hopParts)
+	return max(1, p.cfg.MaxConns/hopParts)
 }
 
 // hopParts: a next hop among several may hold one of so many parts of all legs.
@@ -391,7 +392,7 @@
 const mostDoubtful = 3
 
 // doubt gives a leg that is in doubt.
-func (p *Pool[T]) doubt(now time.Duration, h *Hop[T], l *Leg[T], t T) {
+func (p *Pool[T]) doubt(now time.Duration, h *Server[T], l *Conn[T], t T) {
 	p.take(h, l)
 	h.doubted, h.rest.owed = l, false
 	p.give(now, l, t)
@@ -400,10 +401,10 @@
 // room makes sure of a descriptor for one more leg: at the cap the leg that has been idle longest,
 // of any next hop, is closed.
 func (p *Pool[T]) room() bool {
-	if p.legs < p.cfg.Most {
+	if p.legs < p.cfg.MaxConns {
 		return true
 	}
-	var oldest *Leg[T]
+	var oldest *Conn[T]
 	for _, h := range p.hops {
 		if len(h.idle) == 0 {
 			continue
@@ -419,24 +420,24 @@
 	return oldest != nil
 }
 
-func (p *Pool[T]) give(now time.Duration, l *Leg[T], t T) {
-	l.Rested = 0
+func (p *Pool[T]) give(now time.Duration, l *Conn[T], t T) {
+	l.IdleFor = 0
 	if l.phase == idle {
-		l.Rested = now - l.since
+		l.IdleFor = now - l.since
 	}
 	l.phase, l.since = given, now
 	l.uses++
-	p.do(Act[T]{Do: Give, Leg: l, Ticket: t})
+	p.do(Action[T]{Kind: Assign, Conn: l, Ticket: t})
 }
 
-// Forget says that a ticket waits no more.
-func (p *Pool[T]) Forget(h *Hop[T], t T) {
+// CancelWait says that a ticket waits no more.
+func (p *Pool[T]) CancelWait(h *Server[T], t T) {
 	h.waiting = slices.DeleteFunc(h.waiting, func(o T) bool { return o == t })
 }
 
 // Opened says how the opening of a leg went.
-func (p *Pool[T]) Opened(now time.Duration, l *Leg[T], how Opening) {
-	h := l.Hop
+func (p *Pool[T]) Opened(now time.Duration, l *Conn[T], how OpenResult) {
+	h := l.Server
 	h.opening--
 	if how == OpenOK {
 		l.phase = fresh
@@ -458,20 +459,20 @@
 	if len(h.waiting) > h.opening && (h.busy() <= 0 || !p.sooner(h, len(h.waiting)-h.opening)) {
 		t := h.waiting[0]
 		h.waiting = h.waiting[1:]
-		p.do(Act[T]{Do: Refuse, Ticket: t, Local: local})
+		p.do(Action[T]{Kind: Refuse, Ticket: t, LocalFault: local})
 	}
 	p.stranded(now, h)
 }
 
-// Free takes a leg back after an exchange.
-func (p *Pool[T]) Free(now time.Duration, l *Leg[T]) {
-	l.Hop.pace.held(now-l.since, l.uses == 1)
+// Release takes a leg back after an exchange.
+func (p *Pool[T]) Release(now time.Duration, l *Conn[T]) {
+	l.Server.pace.held(now-l.since, l.uses == 1)
 	p.free(now, l)
 }
 
-// Unused takes a leg back that was given and on which nothing was written.
-func (p *Pool[T]) Unused(now time.Duration, l *Leg[T]) {
-	if l.Rested > 0 { // how long it has rested by now would be lost
+// ReleaseUnused takes a leg back that was given and on which nothing was written.
+func (p *Pool[T]) ReleaseUnused(now time.Duration, l *Conn[T]) {
+	if l.IdleFor > 0 { // how long it has rested by now would be lost
 		p.drop(l, byRest)
 		return
 	}
@@ -482,8 +483,8 @@
 // free gives a leg that is nobody's to the ticket that has waited longest, or keeps it idle. The
 // server list counts as it is now: the next hop may have begun to drain while the leg was opened or in
 // use.
-func (p *Pool[T]) free(now time.Duration, l *Leg[T]) {
-	h := l.Hop
+func (p *Pool[T]) free(now time.Duration, l *Conn[T]) {
+	h := l.Server
 	switch {
 	case h.state != lg.Ready:
 		p.drop(l, byList)
@@ -498,24 +499,24 @@
 }
 
 // Drop closes a leg after an exchange that left it of no more use.
-func (p *Pool[T]) Drop(now time.Duration, l *Leg[T]) {
+func (p *Pool[T]) Drop(now time.Duration, l *Conn[T]) {
 	p.drop(l, byUse)
-	p.stranded(now, l.Hop)
+	p.stranded(now, l.Server)
 }
 
-func (p *Pool[T]) drop(l *Leg[T], why int) {
-	p.do(Act[T]{Do: Close, Leg: l})
+func (p *Pool[T]) drop(l *Conn[T], why int) {
+	p.do(Action[T]{Kind: Close, Conn: l})
 	p.forget(l, why)
 }
 
-// Lost forgets a leg that the other side has closed.
-func (p *Pool[T]) Lost(now time.Duration, l *Leg[T]) {
+// PeerClosed forgets a leg that the other side has closed.
+func (p *Pool[T]) PeerClosed(now time.Duration, l *Conn[T]) {
 	p.forget(l, byOther)
-	p.stranded(now, l.Hop)
+	p.stranded(now, l.Server)
 }
 
-func (p *Pool[T]) forget(l *Leg[T], why int) {
-	h := l.Hop
+func (p *Pool[T]) forget(l *Conn[T], why int) {
+	h := l.Server
 	p.legs--
 	h.legs--
 	h.Counts.Closed[why]++
@@ -531,35 +532,35 @@
 	l.phase = closed
 }
 
-// Learn takes in how an exchange on a leg ended: with an answer, with the leg broken, or in silence.
-func (p *Pool[T]) Learn(now time.Duration, l *Leg[T], how End) {
-	h := l.Hop
+// RecordOutcome takes in how an exchange on a leg ended: with an answer, with the leg broken, or in silence.
+func (p *Pool[T]) RecordOutcome(now time.Duration, l *Conn[T], how Outcome) {
+	h := l.Server
 	if h.doubted == l {
 		h.doubted = nil
 	}
-	if p.cfg.Trustful {
+	if p.cfg.NoLearning {
 		return
 	}
-	if how == Silence && h.answered <= l.since {
+	if how == NoAnswer && h.answered <= l.since {
 		return // it has answered on no leg since: it hangs, and the leg is not to blame
 	}
-	p.trust.add(l.Rested, how != Answered)
-	p.limit = p.trust.limit(p.cfg.Idle)
+	p.trust.add(l.IdleFor, how != Answered)
+	p.limit = p.trust.limit(p.cfg.IdleTimeout)
 	if how == Answered {
-		h.rest.good(l.Rested)
+		h.rest.good(l.IdleFor)
 		h.answered = now
 		return
 	}
-	if l.Rested < shortRest {
+	if l.IdleFor < shortRest {
 		p.fresh++
 	}
-	if !h.rest.lost(now, l.Rested, p.cfg.Idle, how, p.fresh > freshMost) {
+	if !h.rest.lost(now, l.IdleFor, p.cfg.IdleTimeout, how, p.fresh > freshMost) {
 		return
 	}
 	// Two next hops that lose rested legs within a short while: what drops them may lie before all.
 	if p.lostHop != h && now-p.lostAt < togetherFor {
 		for _, o := range p.hops {
-			o.rest.warn(now, l.Rested)
+			o.rest.warn(now, l.IdleFor)
 		}
 	}
 	p.lostHop, p.lostAt = h, now
@@ -569,10 +570,10 @@
 // quarter of a second.
 func (p *Pool[T]) Sweep(now time.Duration) {
 	p.trust.forget()
-	p.limit = p.trust.limit(p.cfg.Idle)
+	p.limit = p.trust.limit(p.cfg.IdleTimeout)
 	p.fresh *= freshFade
-	for _, h := range p.Hops() {
-		h.rest.fade(now, p.cfg.Idle)
+	for _, h := range p.Servers() {
+		h.rest.fade(now, p.cfg.IdleTimeout)
 		h.pace.sweep()
 		if h.cap > 0 && now-h.capAt >= capFor {
 			if h.cap, h.capAt = h.cap+1, now; h.cap > p.part() {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -52,38 +52,38 @@
 	most    int
 	now     time.Duration
 	state   map[lg.ServerID]lg.State
-	legs    map[LegID]*Leg[int] // all that are open or being opened
-	given   map[LegID]int
+	legs    map[ConnID]*Conn[int] // all that are open or being opened
+	given   map[ConnID]int
 	waiting map[int]lg.ServerID
-	hops    map[int]*Hop[int] // of the tickets
+	hops    map[int]*Server[int] // of the tickets
 	next    int
 }
 
 // acts does what the pool asks for and checks that it may ask for it.
 func (m *model) acts() {
-	for _, a := range m.p.Acts {
-		switch a.Do {
+	for _, a := range m.p.Actions {
+		switch a.Kind {
 		case Open:
-			if m.legs[a.Leg.ID] != nil || m.state[a.Leg.Hop.ID] != lg.Ready {
-				m.Fatalf("opens leg %d to a next hop that is %v", a.Leg.ID, m.state[a.Leg.Hop.ID])
+			if m.legs[a.Conn.ID] != nil || m.state[a.Conn.Server.ID] != lg.Ready {
+				m.Fatalf("opens leg %d to a next hop that is %v", a.Conn.ID, m.state[a.Conn.Server.ID])
 			}
-			m.legs[a.Leg.ID] = a.Leg
+			m.legs[a.Conn.ID] = a.Conn
 		case Close:
-			if m.legs[a.Leg.ID] == nil {
-				m.Fatalf("closes leg %d, which is not there", a.Leg.ID)
+			if m.legs[a.Conn.ID] == nil {
+				m.Fatalf("closes leg %d, which is not there", a.Conn.ID)
 			}
-			delete(m.legs, a.Leg.ID)
-			delete(m.given, a.Leg.ID)
-		case Give:
+			delete(m.legs, a.Conn.ID)
+			delete(m.given, a.Conn.ID)
+		case Assign:
 			_, waits := m.waiting[a.Ticket]
-			if _, taken := m.given[a.Leg.ID]; taken || !waits || m.legs[a.Leg.ID] == nil || a.Leg.Opening() {
-				m.Fatalf("gives leg %d to %d: taken %v, waits %v", a.Leg.ID, a.Ticket, taken, waits)
+			if _, taken := m.given[a.Conn.ID]; taken || !waits || m.legs[a.Conn.ID] == nil || a.Conn.Opening() {
+				m.Fatalf("gives leg %d to %d: taken %v, waits %v", a.Conn.ID, a.Ticket, taken, waits)
 			}
-			if a.Leg.Hop.ID != m.waiting[a.Ticket] || m.state[a.Leg.Hop.ID] != lg.Ready {
+			if a.Conn.Server.ID != m.waiting[a.Ticket] || m.state[a.Conn.Server.ID] != lg.Ready {
 				m.Fatalf("gives a leg of another next hop, or of one that drains")
 			}
 			delete(m.waiting, a.Ticket)
-			m.given[a.Leg.ID] = a.Ticket
+			m.given[a.Conn.ID] = a.Ticket
 		case Refuse:
 			if _, waits := m.waiting[a.Ticket]; !waits {
 				m.Fatalf("ticket %d ended twice", a.Ticket)
@@ -91,7 +91,7 @@
 			delete(m.waiting, a.Ticket)
 		}
 	}
-	m.p.Acts = m.p.Acts[:0]
+	m.p.Actions = m.p.Actions[:0]
 }
 
 // check holds what must be true at any time.
@@ -99,10 +99,10 @@
 	if len(m.legs) > m.most || m.p.legs != len(m.legs) {
 		m.Fatalf("%d legs open, %d counted, at most %d allowed", len(m.legs), m.p.legs, m.most)
 	}
-	for _, h := range m.p.Hops() {
+	for _, h := range m.p.Servers() {
 		opening, legs := 0, 0
 		for _, l := range m.legs {
-			if l.Hop == h {
+			if l.Server == h {
 				legs++
 				if l.Opening() {
 					opening++
@@ -127,8 +127,8 @@
 }
 
 // some picks a leg in a state, 0 where there is none.
-func (m *model) some(fit func(*Leg[int]) bool) *Leg[int] {
-	var able []LegID
+func (m *model) some(fit func(*Conn[int]) bool) *Conn[int] {
+	var able []ConnID
 	for id, l := range m.legs {
 		if fit(l) {
 			able = append(able, id)
@@ -149,38 +149,38 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 6).Draw(t, "most")
-		m := &model{T: t, p: New[int](Config{Most: most, Idle: 2 * time.Second}), most: most,
-			state: map[lg.ServerID]lg.State{}, legs: map[LegID]*Leg[int]{}, had: map[lg.ServerID]int{},
-			given:   map[LegID]int{},
-			waiting: map[int]lg.ServerID{}, hops: map[int]*Hop[int]{}}
+		m := &model{T: t, p: New[int](Config{MaxConns: most, IdleTimeout: 2 * time.Second}), most: most,
+			state: map[lg.ServerID]lg.State{}, legs: map[ConnID]*Conn[int]{}, had: map[lg.ServerID]int{},
+			given:   map[ConnID]int{},
+			waiting: map[int]lg.ServerID{}, hops: map[int]*Server[int]{}}
 		hop := func() lg.ServerID { return lg.ServerID(rapid.IntRange(1, 3).Draw(t, "hop")) }
-		isGiven := func(l *Leg[int]) bool { _, ok := m.given[l.ID]; return ok }
+		isGiven := func(l *Conn[int]) bool { _, ok := m.given[l.ID]; return ok }
 		for id := lg.ServerID(1); id <= 3; id++ {
 			m.state[id] = lg.Ready
-			m.p.Told(id, lg.Ready)
+			m.p.SetServerState(id, lg.Ready)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"told": func(*rapid.T) {
 				id := hop()
 				m.state[id] = rapid.SampledFrom([]lg.State{lg.Ready, lg.Ready, lg.Draining, lg.Gone}).Draw(t, "state")
-				m.p.Told(id, m.state[id])
+				m.p.SetServerState(id, m.state[id])
 			},
 			"want": func(*rapid.T) {
 				id := hop()
 				m.next++
 				m.waiting[m.next] = id
-				m.hops[m.next] = m.p.Hop(id)
-				m.p.Want(m.now, m.hops[m.next], m.next, rapid.Bool().Draw(t, "careful"))
+				m.hops[m.next] = m.p.Server(id)
+				m.p.Acquire(m.now, m.hops[m.next], m.next, rapid.Bool().Draw(t, "careful"))
 			},
 			"forget": func(*rapid.T) {
 				for _, ticket := range sortedKeys(m.waiting) {
 					delete(m.waiting, ticket)
-					m.p.Forget(m.hops[ticket], ticket)
+					m.p.CancelWait(m.hops[ticket], ticket)
 					break
 				}
 			},
 			"opened": func(*rapid.T) {
-				if l := m.some((*Leg[int]).Opening); l != nil {
+				if l := m.some((*Conn[int]).Opening); l != nil {
 					ok := rapid.Bool().Draw(t, "ok")
 					if !ok {
 						delete(m.legs, l.ID)
@@ -191,8 +191,8 @@
 			"free": func(*rapid.T) {
 				if l := m.some(isGiven); l != nil {
 					delete(m.given, l.ID)
-					m.p.Learn(m.now, l, rapid.SampledFrom([]End{Answered, Broke, Silence}).Draw(t, "end"))
-					m.p.Free(m.now, l)
+					m.p.RecordOutcome(m.now, l, rapid.SampledFrom([]Outcome{Answered, Broken, NoAnswer}).Draw(t, "end"))
+					m.p.Release(m.now, l)
 				}
 			},
 			"drop": func(*rapid.T) {
@@ -201,16 +201,16 @@
 				}
 			},
 			"lost": func(*rapid.T) {
-				if l := m.some(func(l *Leg[int]) bool { return !l.Opening() }); l != nil {
+				if l := m.some(func(l *Conn[int]) bool { return !l.Opening() }); l != nil {
 					delete(m.legs, l.ID)
 					delete(m.given, l.ID)
-					m.p.Lost(m.now, l)
+					m.p.PeerClosed(m.now, l)
 				}
 			},
 			"sweep": func(*rapid.T) {
 				m.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * ms
 				m.p.Sweep(m.now)
-				for _, h := range m.p.Hops() {
+				for _, h := range m.p.Servers() {
 					for _, l := range h.idle {
 						if m.now-l.since >= 2*time.Second {
 							t.Fatalf("leg %d has been idle for %v", l.ID, m.now-l.since)
@@ -234,20 +234,20 @@
 
 // TestReuseAllocatesNothing holds the path of a request that finds an idle leg.
 func TestReuseAllocatesNothing(t *testing.T) {
-	p := New[int](Config{Most: 4, Idle: time.Minute})
-	p.Told(1, lg.Ready)
-	h := p.Hop(1)
-	p.Want(0, h, 1, false)
-	l := p.Acts[0].Leg
-	p.Acts = p.Acts[:0]
+	p := New[int](Config{MaxConns: 4, IdleTimeout: time.Minute})
+	p.SetServerState(1, lg.Ready)
+	h := p.Server(1)
+	p.Acquire(0, h, 1, false)
+	l := p.Actions[0].Conn
+	p.Actions = p.Actions[:0]
 	p.Opened(0, l, OpenOK)
-	p.Acts = p.Acts[:0]
-	p.Free(0, l)
+	p.Actions = p.Actions[:0]
+	p.Release(0, l)
 	if n := testing.AllocsPerRun(100, func() {
-		p.Want(ms, h, 2, true)
-		p.Acts = p.Acts[:0]
-		p.Learn(ms, l, Answered)
-		p.Free(ms, l)
+		p.Acquire(ms, h, 2, true)
+		p.Actions = p.Actions[:0]
+		p.RecordOutcome(ms, l, Answered)
+		p.Release(ms, l)
 	}); n > 0 {
 		t.Errorf("%.1f allocations", n)
 	}
@@ -267,30 +267,30 @@
 // ask makes one exchange.
 func (u *user) ask(careful bool) {
 	u.next++
-	u.p.Want(u.now, u.p.Hop(1), u.next, careful)
-	for i := 0; i < len(u.p.Acts); i++ {
-		switch a := u.p.Acts[i]; a.Do {
+	u.p.Acquire(u.now, u.p.Server(1), u.next, careful)
+	for i := 0; i < len(u.p.Actions); i++ {
+		switch a := u.p.Actions[i]; a.Kind {
 		case Open:
 			u.opens++
 			u.now += ms
-			u.p.Opened(u.now, a.Leg, openedAs(u.fails == nil || !u.fails()))
-		case Give:
-			if u.gone(a.Leg.Rested) {
+			u.p.Opened(u.now, a.Conn, openedAs(u.fails == nil || !u.fails()))
+		case Assign:
+			if u.gone(a.Conn.IdleFor) {
 				u.lost++
 				u.now += 400 * ms
-				u.p.Hop(1).answered = u.now // on some other leg
-				u.p.Learn(u.now, a.Leg, Silence)
-				u.p.Drop(u.now, a.Leg)
+				u.p.Server(1).answered = u.now // on some other leg
+				u.p.RecordOutcome(u.now, a.Conn, NoAnswer)
+				u.p.Drop(u.now, a.Conn)
 				continue
 			}
 			u.now += 10 * ms
-			u.p.Learn(u.now, a.Leg, Answered)
-			u.p.Free(u.now, a.Leg)
+			u.p.RecordOutcome(u.now, a.Conn, Answered)
+			u.p.Release(u.now, a.Conn)
 		case Refuse:
 			u.refused++
 		}
 	}
-	u.p.Acts = u.p.Acts[:0]
+	u.p.Actions = u.p.Actions[:0]
 }
 
 // wait passes time, with its sweeps.
@@ -299,18 +299,18 @@
 		u.now = min(end, u.now+250*ms)
 		u.p.Sweep(u.now)
 	}
-	for _, a := range u.p.Acts {
-		if a.Do != Close {
+	for _, a := range u.p.Actions {
+		if a.Kind != Close {
 			panic("a sweep only closes")
 		}
 	}
-	u.p.Acts = u.p.Acts[:0]
+	u.p.Actions = u.p.Actions[:0]
 }
 
 func newUser(most int) *user {
-	u := &user{p: New[int](Config{Most: most, Idle: 15 * time.Second}),
+	u := &user{p: New[int](Config{MaxConns: most, IdleTimeout: 15 * time.Second}),
 		gone: func(time.Duration) bool { return false }}
-	u.p.Told(1, lg.Ready)
+	u.p.SetServerState(1, lg.Ready)
 	return u
 }
 
@@ -356,14 +356,14 @@
 	u := newUser(10)
 	u.ask(false)
 	u.wait(time.Second)
-	h := u.p.Hop(1)
+	h := u.p.Server(1)
 	for range 5 {
-		u.p.Want(u.now, h, 1, true)
-		l := u.p.Acts[0].Leg
-		u.p.Acts = u.p.Acts[:0]
+		u.p.Acquire(u.now, h, 1, true)
+		l := u.p.Actions[0].Conn
+		u.p.Actions = u.p.Actions[:0]
 		u.now += 400 * ms
-		u.p.Learn(u.now, l, Silence)
-		u.p.Free(u.now, l)
+		u.p.RecordOutcome(u.now, l, NoAnswer)
+		u.p.Release(u.now, l)
 		u.wait(time.Second)
 	}
 	if h.rest.proved != 15*time.Second || h.rest.lostFor != 0 {
@@ -393,59 +393,59 @@
 
 // TestOneHopCannotHoldAll covers a next hop that hangs while its branches keep their legs.
 func TestOneHopCannotHoldAll(t *testing.T) {
-	p := New[int](Config{Most: 8, Idle: time.Minute})
-	p.Told(1, lg.Ready)
-	p.Told(2, lg.Ready)
+	p := New[int](Config{MaxConns: 8, IdleTimeout: time.Minute})
+	p.SetServerState(1, lg.Ready)
+	p.SetServerState(2, lg.Ready)
 	for i := range 20 {
-		p.Want(0, p.Hop(1), i, false)
+		p.Acquire(0, p.Server(1), i, false)
 	}
-	p.Want(0, p.Hop(2), 100, false)
-	last := p.Acts[len(p.Acts)-1]
-	if p.Hop(1).legs > 4 || last.Do != Open || last.Leg.Hop.ID != 2 {
-		t.Errorf("%d legs at one next hop; the other: %d", p.Hop(1).legs, last.Do)
+	p.Acquire(0, p.Server(2), 100, false)
+	last := p.Actions[len(p.Actions)-1]
+	if p.Server(1).legs > 4 || last.Kind != Open || last.Conn.Server.ID != 2 {
+		t.Errorf("%d legs at one next hop; the other: %d", p.Server(1).legs, last.Kind)
 	}
 }
 
 // TestSurplusOpening covers a leg that is being opened for a branch that is served meanwhile: the next
 // branch waits for it and opens none.
 func TestSurplusOpening(t *testing.T) {
-	p := New[int](Config{Most: 8, Idle: time.Minute})
-	p.Told(1, lg.Ready)
-	h := p.Hop(1)
-	p.Want(0, h, 1, false)
-	p.Opened(0, p.Acts[0].Leg, OpenOK)
-	first := p.Acts[0].Leg
-	p.Want(ms, h, 2, false)
-	p.Free(2*ms, first) // serves 2, for which one is being opened
-	p.Acts = p.Acts[:0]
-	p.Want(3*ms, h, 3, false)
-	if len(p.Acts) != 0 || h.opening != 1 {
-		t.Errorf("%d acts, %d being opened", len(p.Acts), h.opening)
+	p := New[int](Config{MaxConns: 8, IdleTimeout: time.Minute})
+	p.SetServerState(1, lg.Ready)
+	h := p.Server(1)
+	p.Acquire(0, h, 1, false)
+	p.Opened(0, p.Actions[0].Conn, OpenOK)
+	first := p.Actions[0].Conn
+	p.Acquire(ms, h, 2, false)
+	p.Release(2*ms, first) // serves 2, for which one is being opened
+	p.Actions = p.Actions[:0]
+	p.Acquire(3*ms, h, 3, false)
+	if len(p.Actions) != 0 || h.opening != 1 {
+		t.Errorf("%d acts, %d being opened", len(p.Actions), h.opening)
 	}
 }
 
 // quick is a next hop whose exchanges take 2 ms, and 13 ms on a new leg, with one leg in use.
-func quick(t *testing.T) (p *Pool[int], h *Hop[int], out *Leg[int]) {
+func quick(t *testing.T) (p *Pool[int], h *Server[int], out *Conn[int]) {
 	t.Helper()
-	p = New[int](Config{Most: 40, Idle: time.Minute})
-	p.Told(1, lg.Ready)
-	p.Told(2, lg.Ready)
-	h = p.Hop(1)
-	p.Want(0, h, 1, false)
-	out = p.Acts[0].Leg
+	p = New[int](Config{MaxConns: 40, IdleTimeout: time.Minute})
+	p.SetServerState(1, lg.Ready)
+	p.SetServerState(2, lg.Ready)
+	h = p.Server(1)
+	p.Acquire(0, h, 1, false)
+	out = p.Actions[0].Conn
 	p.Opened(ms, out, OpenOK)
-	p.Free(14*ms, out)
+	p.Release(14*ms, out)
 	for i := range 20 {
 		at := time.Duration(20+10*i) * ms
-		p.Want(at, h, 2, false)
-		p.Free(at+2*ms, out)
+		p.Acquire(at, h, 2, false)
+		p.Release(at+2*ms, out)
 	}
-	p.Acts = p.Acts[:0]
-	p.Want(time.Second, h, 3, false)
-	if len(p.Acts) != 1 || p.Acts[0].Do != Give {
-		t.Fatalf("acts %v", p.Acts)
+	p.Actions = p.Actions[:0]
+	p.Acquire(time.Second, h, 3, false)
+	if len(p.Actions) != 1 || p.Actions[0].Kind != Assign {
+		t.Fatalf("acts %v", p.Actions)
 	}
-	p.Acts = p.Acts[:0]
+	p.Actions = p.Actions[:0]
 	return p, h, out
 }
 
@@ -453,28 +453,28 @@
 // what becomes of it when that leg is late, or breaks.
 func TestWaitsForALegInUse(t *testing.T) {
 	p, h, out := quick(t)
-	p.Want(time.Second, h, 4, false)
-	if len(p.Acts) != 0 {
-		t.Fatalf("%d acts: want it to wait", len(p.Acts))
+	p.Acquire(time.Second, h, 4, false)
+	if len(p.Actions) != 0 {
+		t.Fatalf("%d acts: want it to wait", len(p.Actions))
 	}
-	p.Free(time.Second+3*ms, out)
-	if len(p.Acts) != 1 || p.Acts[0].Do != Give || p.Acts[0].Ticket != 4 {
-		t.Errorf("acts %+v", p.Acts)
+	p.Release(time.Second+3*ms, out)
+	if len(p.Actions) != 1 || p.Actions[0].Kind != Assign || p.Actions[0].Ticket != 4 {
+		t.Errorf("acts %+v", p.Actions)
 	}
 	p, h, _ = quick(t)
-	p.Want(time.Second, h, 4, false)
-	if p.Press(time.Second+h.Patience(), h); len(p.Acts) != 1 || p.Acts[0].Do != Open {
-		t.Errorf("late: acts %+v", p.Acts)
+	p.Acquire(time.Second, h, 4, false)
+	if p.OpenForWaiters(time.Second+h.WaitTimeout(), h); len(p.Actions) != 1 || p.Actions[0].Kind != Open {
+		t.Errorf("late: acts %+v", p.Actions)
 	}
 	p, h, out = quick(t)
-	p.Want(time.Second, h, 4, false)
+	p.Acquire(time.Second, h, 4, false)
 	p.Drop(time.Second+ms, out)
-	if len(p.Acts) != 2 || p.Acts[1].Do != Open || p.Acts[1].Ticket != 4 {
-		t.Errorf("broken: acts %+v", p.Acts)
+	if len(p.Actions) != 2 || p.Actions[1].Kind != Open || p.Actions[1].Ticket != 4 {
+		t.Errorf("broken: acts %+v", p.Actions)
 	}
 	p, h, _ = quick(t)
 	for i := range 10 { // more than the leg in use can serve in the time of an opening
-		p.Want(time.Second, h, 10+i, false)
+		p.Acquire(time.Second, h, 10+i, false)
 	}
 	if h.opening == 0 || h.opening > 9 {
 		t.Errorf("%d opened for ten that wait", h.opening)
@@ -487,13 +487,13 @@
 	p, h, _ := quick(t)
 	p.cfg.Eager = true
 	open := func(at time.Duration) bool {
-		p.Acts = p.Acts[:0]
-		p.Want(at, h, 99, false)
-		opened := len(p.Acts) == 1 && p.Acts[0].Do == Open
+		p.Actions = p.Actions[:0]
+		p.Acquire(at, h, 99, false)
+		opened := len(p.Actions) == 1 && p.Actions[0].Kind == Open
 		if opened {
-			l := p.Acts[0].Leg
+			l := p.Actions[0].Conn
 			p.Opened(at, l, OpenOK)
-			p.Capped(at, l)
+			p.ConnLimitReached(at, l)
 			p.Drop(at, l)
 		}
 		return opened
@@ -515,18 +515,19 @@
 // opened before it is wanted, and not more than the traffic keeps busy.
 func TestAhead(t *testing.T) {
 	p, h, out := quick(t)
-	p.Free(time.Second, out)
+	p.Release(time.Second, out)
 	h.pace.rate = 1100 // times 2 ms: two are busy
-	p.Acts = p.Acts[:0]
-	p.Want(time.Second+ms, h, 5, false)
-	if len(p.Acts) != 2 || p.Acts[1].Do != Open || p.Acts[1].Ticket != 0 || h.Counts.Ahead != 1 {
-		t.Fatalf("acts %+v", p.Acts)
+	p.Actions = p.Actions[:0]
+	p.Acquire(time.Second+ms, h, 5, false)
+	if len(p.Actions) != 2 || p.Actions[1].Kind != Open || p.Actions[1].Ticket != 0 ||
+		h.Counts.OpenedAhead != 1 {
+		t.Fatalf("acts %+v", p.Actions)
 	}
-	p.Opened(time.Second+2*ms, p.Acts[1].Leg, OpenOK)
+	p.Opened(time.Second+2*ms, p.Actions[1].Conn, OpenOK)
 	h.pace.rate = 10
-	p.Acts = p.Acts[:0]
-	if p.Want(time.Second+3*ms, h, 6, false); len(p.Acts) != 1 {
-		t.Errorf("opened ahead without need: %+v", p.Acts)
+	p.Actions = p.Actions[:0]
+	if p.Acquire(time.Second+3*ms, h, 6, false); len(p.Actions) != 1 {
+		t.Errorf("opened ahead without need: %+v", p.Actions)
 	}
 }
 
@@ -534,20 +535,20 @@
 // drain and that leg breaks: it hears at once.
 func TestNothingIsOpenedToADrain(t *testing.T) {
 	p, h, out := quick(t)
-	p.Want(time.Second, h, 4, false)
-	p.Told(1, lg.Draining)
-	if n := len(p.Acts); n != 1 || p.Acts[0].Do != Refuse || p.Acts[0].Ticket != 4 {
-		t.Errorf("told of a drain: acts %+v", p.Acts)
+	p.Acquire(time.Second, h, 4, false)
+	p.SetServerState(1, lg.Draining)
+	if n := len(p.Actions); n != 1 || p.Actions[0].Kind != Refuse || p.Actions[0].Ticket != 4 {
+		t.Errorf("told of a drain: acts %+v", p.Actions)
 	}
-	p.Press(time.Second+ms, h)
+	p.OpenForWaiters(time.Second+ms, h)
 	p.Drop(time.Second+ms, out)
-	if n := len(p.Acts); n != 2 || p.Acts[1].Do != Close {
-		t.Errorf("acts %+v", p.Acts)
+	if n := len(p.Actions); n != 2 || p.Actions[1].Kind != Close {
+		t.Errorf("acts %+v", p.Actions)
 	}
 }
 
 // openedAs is how an opening went that is well or not.
-func openedAs(ok bool) Opening {
+func openedAs(ok bool) OpenResult {
 	if ok {
 		return OpenOK
 	}
@@ -557,21 +558,22 @@
 // TestLocalFault holds that an opening which failed by this machine's own fault delays no other one at its
 // next hop, and that who waited hears that no server is to blame.
 func TestLocalFault(t *testing.T) {
-	for _, how := range []Opening{OpenFailed, OpenLocalFault} {
-		p := New[int](Config{Most: 8, Idle: time.Second})
-		p.Told(1, lg.Ready)
-		h := p.Hop(1)
-		p.Want(0, h, 7, false)
-		leg := p.Acts[0].Leg
-		p.Acts = nil
+	for _, how := range []OpenResult{OpenFailed, OpenLocalFault} {
+		p := New[int](Config{MaxConns: 8, IdleTimeout: time.Second})
+		p.SetServerState(1, lg.Ready)
+		h := p.Server(1)
+		p.Acquire(0, h, 7, false)
+		leg := p.Actions[0].Conn
+		p.Actions = nil
 		p.Opened(ms, leg, how)
 		local := how == OpenLocalFault
-		if len(p.Acts) != 1 || p.Acts[0].Do != Refuse || p.Acts[0].Ticket != 7 || p.Acts[0].Local != local {
-			t.Fatalf("%d: %+v", how, p.Acts)
+		if len(p.Actions) != 1 || p.Actions[0].Kind != Refuse || p.Actions[0].Ticket != 7 ||
+			p.Actions[0].LocalFault != local {
+			t.Fatalf("%d: %+v", how, p.Actions)
 		}
-		p.Acts = nil
-		p.Want(2*ms, h, 8, false)
-		if opens := len(p.Acts) == 1 && p.Acts[0].Do == Open; opens != local {
+		p.Actions = nil
+		p.Acquire(2*ms, h, 8, false)
+		if opens := len(p.Actions) == 1 && p.Actions[0].Kind == Open; opens != local {
 			t.Errorf("%d: opened at once: %t", how, opens)
 		}
 	}
--- a/internal/pool/rest.go
+++ b/internal/pool/rest.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// End is how an exchange on a leg ended.
-type End uint8
+// Outcome is how an exchange on a leg ended.
+type Outcome uint8
 
 // The ends.
 const (
-	Answered End = iota
-	Broke        // the leg broke before an answer
-	Silence      // nothing came
+	Answered Outcome = iota
+	Broken           // the leg broke before an answer
+	NoAnswer         // nothing came
 )
 
 // rest learns for one next hop how long its legs may rest: what lies before it may drop resting legs
@@ -71,14 +71,14 @@
 // lost notes that an exchange ended without an answer on a leg that had rested. The first time legs
 // as rested are only in doubt: a connection may break for other reasons, and where fresh legs are lost
 // as well the rest is not to blame. It tells whether it is.
-func (r *rest) lost(now, rested, most time.Duration, how End, others bool) bool {
+func (r *rest) lost(now, rested, most time.Duration, how Outcome, others bool) bool {
 	if rested < shortRest {
 		*r = rest{proved: most, freshAt: now}
 		return false
 	}
 	// Guards against taking a request that costs too much for a leg that was dropped: silence counts
 	// the second time, unless a leg as rested has answered in between.
-	if first := r.silent == 0; how == Silence {
+	if first := r.silent == 0; how == NoAnswer {
 		if r.silent = max(r.silent, rested); first && rested <= r.proved {
 			return false
 		}
--- a/internal/reducer/attempts_test.go
+++ b/internal/reducer/attempts_test.go
@@ -33,8 +33,8 @@
 	server := m.hops[1].server
 	m.end(1, lg.Full, false)
 	for _, h := range m.s.pool.Stats() {
-		if h.ID == server && h.Legs > 0 || m.hops[1] != nil {
-			t.Errorf("%d legs kept", h.Legs)
+		if h.ID == server && h.Conns > 0 || m.hops[1] != nil {
+			t.Errorf("%d legs kept", h.Conns)
 		}
 	}
 	m.step(HopWritten{Leg: 1, OK: true}) // what was under way comes to nothing
@@ -180,10 +180,10 @@
 			m.routes(lg.Changes, lg.Draining, id)
 		}
 	}
-	rested := *m.s.legs[1].Leg
-	rested.Rested = 100 * ms
+	rested := *m.s.legs[1].Conn
+	rested.IdleFor = 100 * ms
 	for range 40 {
-		m.s.pool.Learn(m.s.now, &rested, pool.Broke)
+		m.s.pool.RecordOutcome(m.s.now, &rested, pool.Broken)
 	}
 	m.now += 200 * ms
 	if m.ask(c.leg, 0); m.hops[1] != nil || len(m.hops) != 1 {
--- a/internal/reducer/events.go
+++ b/internal/reducer/events.go
@@ -97,7 +97,7 @@
 	Local bool
 }
 
-func (ev HopDialed) opening() pool.Opening {
+func (ev HopDialed) opening() pool.OpenResult {
 	switch {
 	case ev.OK:
 		return pool.OpenOK
--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -34,7 +34,7 @@
 	Unheard       time.Duration // how long ago that was last, or it started: a watch that waits adds to it
 	LongestUnsent time.Duration // the longest time in which no call was out, since the last but one failed
 	Failed        int           // calls that failed or fell silent since discovery last answered
-	Outdated      uint64        // attempts sent after failed calls, and unheard for listcalls.NewsBy
+	Outdated      uint64        // attempts sent after failed calls, and unheard for listcalls.NotifiedAfter
 	Lapses        uint64        // times that the list was too old to be used, after it had been used
 	Withheld      uint64        // attempts that were waiting for a connection then, and were not sent
 }
--- a/internal/reducer/guard.go
+++ b/internal/reducer/guard.go
@@ -19,17 +19,17 @@
 		delete(s.places, l.ID)
 		return
 	}
-	s.places[l.ID] = sendguard.Place{Zone: l.Zone, Cell: l.Cell}
+	s.places[l.ID] = sendguard.Location{Zone: l.Zone, Cell: l.Cell}
 }
 
 // attempt is what the guard asks of a branch that is about to be written.
 func (s *State) attempt(b *branch) sendguard.Attempt {
 	r := b.req
-	a := sendguard.Attempt{Now: s.now, State: b.hop.State(), Place: b.place,
+	a := sendguard.Attempt{Now: s.now, State: b.hop.State(), Location: b.place,
 		Class: s.cfg.Settings.Classes[r.class], Ended: r.done || r.caller == nil, AtOnce: r.branch != b,
 		Unconfirmed: s.pushed() && !s.list.confirmed && s.now < s.cfg.Confirm, Expired: s.expired()}
 	if r.mayRun {
-		a.Ran = &r.ran
+		a.Prior = &r.ran
 	}
 	return a
 }
--- a/internal/reducer/guard_test.go
+++ b/internal/reducer/guard_test.go
@@ -54,7 +54,7 @@
 			case Dial:
 				next = append(next, HopDialed{Leg: e.Leg, OK: true})
 			case Forward:
-				g.forwards, g.last = append(g.forwards, g.s.legs[e.Leg].Hop.ID), e.Leg
+				g.forwards, g.last = append(g.forwards, g.s.legs[e.Leg].Server.ID), e.Leg
 				next = append(next, HopWritten{Leg: e.Leg, OK: true})
 			case AnswerCaller:
 				g.verdicts = append(g.verdicts, e.Verdict)
--- a/internal/reducer/hops.go
+++ b/internal/reducer/hops.go
@@ -14,7 +14,7 @@
 	if r == nil || r.done || r.branch != nil {
 		return // never two at once, and nothing for a request that has its answer
 	}
-	b := &branch{req: r, number: r.sent, hop: s.pool.Hop(a.Server), sent: s.now, until: r.limit(s.now, a.For)}
+	b := &branch{req: r, number: r.sent, hop: s.pool.Server(a.Server), sent: s.now, until: r.limit(s.now, a.For)}
 	if a.Within > 0 {
 		b.begin = s.now + a.Within
 	}
@@ -48,7 +48,7 @@
 
 // assign asks the pool for a leg.
 func (s *State) assign(b *branch) {
-	s.pool.Want(s.now, b.hop, b, b.req.unsafe)
+	s.pool.Acquire(s.now, b.hop, b, b.req.unsafe)
 	s.pooled()
 	if r := b.req; r.branch == b && b.leg == nil {
 		// Guards against waiting for a leg in use at a next hop that hangs: while nothing is sent there
@@ -58,10 +58,10 @@
 				s.end(b, lg.ConnectFailed, lg.LoadReport{})
 			}
 		})
-		if b.hop.Lacks() {
-			s.clock.add(s.now+b.hop.Patience(), func() {
+		if b.hop.HasUnservedWaiters() {
+			s.clock.add(s.now+b.hop.WaitTimeout(), func() {
 				if r.branch == b && b.leg == nil {
-					s.pool.Press(s.now, b.hop)
+					s.pool.OpenForWaiters(s.now, b.hop)
 					s.pooled()
 				}
 			})
@@ -71,35 +71,35 @@
 
 // pooled does what the pool asks for.
 func (s *State) pooled() {
-	for i := 0; i < len(s.pool.Acts); i++ {
-		a := s.pool.Acts[i]
+	for i := 0; i < len(s.pool.Actions); i++ {
+		a := s.pool.Actions[i]
 		if s.cfg.Trace != nil {
 			s.traceAct(a)
 		}
-		switch a.Do {
+		switch a.Kind {
 		case pool.Open:
-			id := LegID(a.Leg.ID)
-			s.legs[id] = &hopLeg{Leg: a.Leg}
+			id := LegID(a.Conn.ID)
+			s.legs[id] = &hopLeg{Conn: a.Conn}
 			by := s.now + s.cfg.Settings.ConnectTimeout
 			if a.Ticket != nil {
 				by = s.dialBy(a.Ticket)
 			}
-			s.do(Effect{Do: Dial, Leg: id, Server: a.Leg.Hop.ID, At: by})
+			s.do(Effect{Do: Dial, Leg: id, Server: a.Conn.Server.ID, At: by})
 		case pool.Close:
-			s.do(Effect{Do: CloseHop, Leg: LegID(a.Leg.ID)})
-			delete(s.legs, LegID(a.Leg.ID))
-		case pool.Give:
-			s.forward(s.legs[LegID(a.Leg.ID)], a.Ticket)
+			s.do(Effect{Do: CloseHop, Leg: LegID(a.Conn.ID)})
+			delete(s.legs, LegID(a.Conn.ID))
+		case pool.Assign:
+			s.forward(s.legs[LegID(a.Conn.ID)], a.Ticket)
 		case pool.Refuse:
 			result := lg.ConnectFailed
-			if a.Local {
+			if a.LocalFault {
 				result = lg.LocalFault
 			}
 			s.end(a.Ticket, result, lg.LoadReport{})
 		}
 	}
-	clear(s.pool.Acts)
-	s.pool.Acts = s.pool.Acts[:0]
+	clear(s.pool.Actions)
+	s.pool.Actions = s.pool.Actions[:0]
 }
 
 // dialBy is when a leg for the branch must be open. A request that no next hop has had whole yet
@@ -119,19 +119,19 @@
 // moment in which the time of what waits for it is over, before its timer: nothing is written any more.
 func (s *State) forward(l *hopLeg, b *branch) {
 	if s.now >= b.until || b.begin > 0 && s.now >= b.begin {
-		s.pool.Unused(s.now, l.Leg)
+		s.pool.ReleaseUnused(s.now, l.Conn)
 		s.end(b, lg.ConnectFailed, lg.LoadReport{})
 		return
 	}
 	if s.expired() && !s.cfg.Unguarded { // while it waited for its connection
 		s.list.withheld++
-		s.pool.Unused(s.now, l.Leg)
+		s.pool.ReleaseUnused(s.now, l.Conn)
 		s.end(b, lg.Moot, lg.LoadReport{})
 		return
 	}
 	if rule := sendguard.Check(s.attempt(b)); rule != sendguard.None && !s.cfg.Unguarded {
 		s.violated(rule, b.req)
-		s.pool.Unused(s.now, l.Leg)
+		s.pool.ReleaseUnused(s.now, l.Conn)
 		s.end(b, lg.Moot, lg.LoadReport{})
 		return
 	}
@@ -144,7 +144,7 @@
 	e := Effect{Do: Forward, Leg: LegID(l.ID), Client: b.req.caller.id, Payload: b.req.payload, At: at,
 		Begin: b.begin}
 	if s.work != nil {
-		if until := s.work.set.Until(l.Hop.ID); until > 0 && (e.Begin == 0 || until < e.Begin) {
+		if until := s.work.set.Until(l.Server.ID); until > 0 && (e.Begin == 0 || until < e.Begin) {
 			e.Begin = until
 		}
 	}
@@ -154,29 +154,29 @@
 // release gives a leg back to the pool.
 func (s *State) release(l *hopLeg) {
 	l.phase, l.branch = hopPooled, nil
-	s.pool.Free(s.now, l.Leg)
+	s.pool.Release(s.now, l.Conn)
 	s.pooled()
 }
 
 // drop closes a leg.
 func (s *State) drop(l *hopLeg) {
-	s.pool.Drop(s.now, l.Leg)
+	s.pool.Drop(s.now, l.Conn)
 	s.pooled()
 }
 
 // ends says what a branch's result says of its leg.
-var ends = [lg.LocalFault + 1]pool.End{lg.Reset: pool.Broke, lg.ConnectFailed: pool.Broke,
-	lg.TimedOut: pool.Silence}
+var ends = [lg.LocalFault + 1]pool.Outcome{lg.Reset: pool.Broken, lg.ConnectFailed: pool.Broken,
+	lg.TimedOut: pool.NoAnswer}
 
 // end takes a branch from its request and tells the Balancer how it went.
 func (s *State) end(b *branch, res lg.Result, load lg.LoadReport) {
 	r := b.req
 	r.branch, r.result = nil, res
 	if b.leg != nil {
-		s.pool.Learn(s.now, b.leg.Leg, ends[res])
+		s.pool.RecordOutcome(s.now, b.leg.Conn, ends[res])
 		b.leg.branch = nil
 	} else {
-		s.pool.Forget(b.hop, b)
+		s.pool.CancelWait(b.hop, b)
 	}
 	if s.cfg.Trace != nil {
 		said := load // guards against the report's moving to the heap where nothing is traced
@@ -194,7 +194,7 @@
 	}
 	if !res.NeverRan() && !r.mayRun {
 		r.mayRun = true
-		r.ran = sendguard.Ran{At: b.sent, Place: b.place}
+		r.ran = sendguard.PriorAttempt{SentAt: b.sent, Location: b.place}
 	}
 	r.late = r.late || res == lg.TimedOut
 	s.tell(lg.Outcome{Request: r.id, Attempt: b.number, Server: b.hop.ID, Result: res, Closed: r.done,
@@ -226,9 +226,9 @@
 		delete(s.legs, ev.Leg)
 	}
 	if s.cfg.Trace != nil {
-		s.trace("D %d %x %t", l.ID, uint64(l.Hop.ID), ev.OK)
+		s.trace("D %d %x %t", l.ID, uint64(l.Server.ID), ev.OK)
 	}
-	s.pool.Opened(s.now, l.Leg, ev.opening())
+	s.pool.Opened(s.now, l.Conn, ev.opening())
 	s.pooled()
 }
 
@@ -241,7 +241,7 @@
 	}
 	b := l.branch
 	l.phase, l.branch = hopPooled, nil
-	s.pool.Unused(s.now, l.Leg)
+	s.pool.ReleaseUnused(s.now, l.Conn)
 	s.pooled()
 	s.reassign(b)
 }
@@ -318,7 +318,7 @@
 			s.finish(b.req, Effect{Verdict: Served, Payload: ev.Payload})
 		}
 		if ev.Result == lg.Full && !ev.Keep {
-			s.pool.Capped(s.now, l.Leg)
+			s.pool.ConnLimitReached(s.now, l.Conn)
 		}
 		s.end(b, ev.Result, ev.Load)
 	}
@@ -351,9 +351,9 @@
 		}
 	}
 	if s.cfg.Trace != nil {
-		s.trace("C %d %x lost", l.ID, uint64(l.Hop.ID))
+		s.trace("C %d %x lost", l.ID, uint64(l.Server.ID))
 	}
 	delete(s.legs, id)
-	s.pool.Lost(s.now, l.Leg)
+	s.pool.PeerClosed(s.now, l.Conn)
 	s.pooled()
 }
--- a/internal/reducer/list.go
+++ b/internal/reducer/list.go
@@ -18,8 +18,8 @@
 
 // listConfig is what the calls for the list go by.
 func listConfig(set *lg.Settings) listcalls.Config {
-	return listcalls.Config{Asked: set.AskForList, Every: set.AskEvery, Grace: set.DrainGrace, Me: set.Me,
-		Proxies: set.Balancers}
+	return listcalls.Config{Polled: set.AskForList, PollInterval: set.AskEvery, DrainGrace: set.DrainGrace,
+		Index: set.Me, Proxies: set.Balancers}
 }
 
 // pushed tells whether lists are pushed: what discovery has counts as told then, asked for or not.
@@ -76,7 +76,7 @@
 func (s *State) spread(list lg.List) {
 	for _, l := range list.Servers {
 		s.place(l)
-		s.pool.Told(l.ID, l.State)
+		s.pool.SetServerState(l.ID, l.State)
 	}
 	if list.Kind == lg.Changes {
 		return
@@ -85,10 +85,10 @@
 	for _, l := range list.Servers {
 		named[l.ID] = true
 	}
-	for _, h := range s.pool.Hops() {
+	for _, h := range s.pool.Servers() {
 		if !named[h.ID] {
 			delete(s.places, h.ID)
-			s.pool.Told(h.ID, lg.Gone)
+			s.pool.SetServerState(h.ID, lg.Gone)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	switch {
 	case ev.List.Kind == lg.CachedList || ev.Late:
 		s.firstCall()
-	case ev.List.Kind == lg.ListFailed && s.list.Out():
+	case ev.List.Kind == lg.ListFailed && s.list.Pending():
 		s.log(s.list.ended(s.now))
 		s.changed()
 		next := s.list.Failed(s.now)
@@ -110,8 +110,8 @@
 		s.log(s.list.answered(s.now))
 		quiet := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
 		full := ev.List.Kind == lg.FullList || ev.Complete
-		s.clock.add(s.list.Answered(s.now, listcalls.Answer{Whole: full, Quiet: quiet, Known: !ev.Whole,
-			Work: ev.Work}), s.watch)
+		s.clock.add(s.list.Answered(s.now, listcalls.Answer{Full: full, Unchanged: quiet, VersionKnown: !ev.Whole,
+			ProcessingTime: ev.Work}), s.watch)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (s *State) firstCall() {
 	if !s.list.begun && !s.pushed() {
 		s.list.begun = true
-		s.clock.add(s.list.First(s.now), s.watch)
+		s.clock.add(s.list.FirstCall(s.now), s.watch)
 	}
 }
 
@@ -151,15 +151,15 @@
 func (s *State) call(c listcalls.Call) {
 	s.log(s.list.asks(s.now, c.Number))
 	if s.cfg.Trace != nil {
-		s.trace("W %s anew %t", s.cfg.Discovery, c.Anew)
+		s.trace("W %s anew %t", s.cfg.Discovery, c.NewConn)
 	}
-	s.do(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + c.Wait, GiveUp: c.GiveUp, Anew: c.Anew})
-	s.clock.add(c.GiveUp, func() { s.silent(c.Number) })
+	s.do(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + c.Wait, GiveUp: c.Deadline, Anew: c.NewConn})
+	s.clock.add(c.Deadline, func() { s.silent(c.Number) })
 }
 
 // silent gives up a call that has fallen silent, and makes the next one at once.
 func (s *State) silent(number int) {
-	next, ok := s.list.GiveUp(s.now, number)
+	next, ok := s.list.TimeOut(s.now, number)
 	if !ok {
 		return
 	}
--- a/internal/reducer/list_test.go
+++ b/internal/reducer/list_test.go
@@ -272,8 +272,8 @@
 	l.next(listOf(lg.FullList, lg.Ready, 1))
 	l.next(Woken{}) // it has fallen silent: another one is out
 	late := listOf(lg.Changes, lg.Draining, 1)
-	if late.Late = true; len(l.calls(late)) != 0 || !l.s.list.Out() || l.s.Ready() {
-		t.Errorf("watching %t, ready by a server that drains %t", l.s.list.Out(), l.s.Ready())
+	if late.Late = true; len(l.calls(late)) != 0 || !l.s.list.Pending() || l.s.Ready() {
+		t.Errorf("watching %t, ready by a server that drains %t", l.s.list.Pending(), l.s.Ready())
 	}
 	if after, _ := l.next(listOf(lg.Changes, lg.Draining, 1)); after > 200*ms {
 		t.Errorf("its own answer led to the next call after %v", after)
--- a/internal/reducer/listlog.go
+++ b/internal/reducer/listlog.go
@@ -110,7 +110,7 @@
 
 // sent takes in that an attempt is sent by the list that there is.
 func (l *listLog) sent(now time.Duration) {
-	if l.failed > 0 && now-l.heardAt > listcalls.NewsBy {
+	if l.failed > 0 && now-l.heardAt > listcalls.NotifiedAfter {
 		l.outdated++
 	}
 }
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -165,7 +165,7 @@
 
 // afterNews is longer than a list may be used for from the last moment at which the service was known to be
 // out of reach.
-const afterNews = listcalls.NewsBy + drainGrace + slack + 10*ms
+const afterNews = listcalls.NotifiedAfter + drainGrace + slack + 10*ms
 
 // afterSilence is the same from the end of a watch's wait.
 const afterSilence = 2*time.Second + drainGrace + slack + 10*ms
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -78,7 +78,7 @@
 	telling  bool // whoever has come by now is being told
 	allTold  bool // and was, in this step
 	counts   counts
-	places   map[lg.ServerID]sendguard.Place
+	places   map[lg.ServerID]sendguard.Location
 	broken   sendguard.Counts
 	work     *work // nil: no machine is taken out by what proxies settle
 }
@@ -127,7 +127,7 @@
 	sent     int       // branches so far
 	result   lg.Result // of the last one that ended
 	mayRun   bool      // a branch may have run: this one
-	ran      sendguard.Ran
+	ran      sendguard.PriorAttempt
 	late     bool          // a branch has timed out
 	stream   bool          // it is passed on as it comes in,
 	may      time.Duration // and its time counts from its last byte,
@@ -141,12 +141,12 @@
 type branch struct {
 	req    *request
 	number int
-	hop    *pool.Hop[*branch]
+	hop    *pool.Server[*branch]
 	sent   time.Duration
 	until  time.Duration
-	begin  time.Duration   // its first byte must not be written later; 0: no matter
-	leg    *hopLeg         // nil while it waits for one
-	place  sendguard.Place // of its server, as it was when it was sent
+	begin  time.Duration      // its first byte must not be written later; 0: no matter
+	leg    *hopLeg            // nil while it waits for one
+	place  sendguard.Location // of its server, as it was when it was sent
 }
 
 // hopPhase is where a hop leg stands beyond what the pool knows.
@@ -162,7 +162,7 @@
 
 // hopLeg is a connection to a next hop: the pool's leg, and the exchange on it.
 type hopLeg struct {
-	*pool.Leg[*branch]
+	*pool.Conn[*branch]
 	phase  hopPhase
 	branch *branch // nil when nobody waits for its answer any more
 	closed bool    // the connection broke while the request was being written
@@ -180,8 +180,8 @@
 		bal = module
 	}
 	s := &State{cfg: cfg, bal: bal, callers: map[LegID]*caller{}, requests: map[lg.RequestID]*request{},
-		names: map[string]bool{}, legs: map[LegID]*hopLeg{}, places: map[lg.ServerID]sendguard.Place{}}
-	cfg.Pool.Most, cfg.Pool.Idle = cfg.MaxHops, cfg.IdleHops
+		names: map[string]bool{}, legs: map[LegID]*hopLeg{}, places: map[lg.ServerID]sendguard.Location{}}
+	cfg.Pool.MaxConns, cfg.Pool.IdleTimeout = cfg.MaxHops, cfg.IdleHops
 	s.pool = pool.New[*branch](cfg.Pool)
 	s.list = listCalls{Schedule: listcalls.New(listConfig(&s.cfg.Settings)), listLog: newListLog()}
 	s.clock.add(0, s.sweep)
@@ -325,11 +325,11 @@
 	case ListTold:
 		s.changed()
 		if !ev.Late {
-			s.list.Know(!ev.Whole)
+			s.list.SetVersionKnown(!ev.Whole)
 		}
 		s.told(ev)
 	case ListReached:
-		s.list.Reached()
+		s.list.Connected()
 	case Settled:
 		s.settled(ev)
 	case CallerQuiet:
@@ -386,7 +386,7 @@
 	if s.cfg.Overlap > 0 && (s.now < s.cfg.Overlap || s.stopping) {
 		most = max(1, most/2)
 	}
-	s.pool.Limit(most)
+	s.pool.SetMaxConns(most)
 	s.pooled()
 }
 
@@ -417,7 +417,7 @@
 	s.share()
 	if ev.Discovery != s.cfg.Discovery {
 		s.cfg.Discovery = ev.Discovery
-		s.list.Move(s.now)
+		s.list.AddressChanged(s.now)
 		s.watch()
 	}
 }
--- a/internal/reducer/trace.go
+++ b/internal/reducer/trace.go
@@ -33,22 +33,22 @@
 }
 
 // traceAct writes what the pool asked for.
-func (s *State) traceAct(a pool.Act[*branch]) {
-	id, hop := pool.LegID(0), lg.ServerID(0)
-	if a.Leg != nil {
-		id, hop = a.Leg.ID, a.Leg.Hop.ID
+func (s *State) traceAct(a pool.Action[*branch]) {
+	id, hop := pool.ConnID(0), lg.ServerID(0)
+	if a.Conn != nil {
+		id, hop = a.Conn.ID, a.Conn.Server.ID
 	}
 	of := "-"
 	if a.Ticket != nil {
 		of = fmt.Sprint(a.Ticket.req.id)
 		hop = a.Ticket.hop.ID
 	}
-	switch a.Do {
+	switch a.Kind {
 	case pool.Open:
 		s.trace("O %d %x for %s", id, uint64(hop), of)
 	case pool.Close:
 		s.trace("C %d %x", id, uint64(hop))
-	case pool.Give:
-		s.trace("G %d %x to %s rested %d", id, uint64(hop), of, a.Leg.Rested.Milliseconds())
+	case pool.Assign:
+		s.trace("G %d %x to %s rested %d", id, uint64(hop), of, a.Conn.IdleFor.Milliseconds())
 	}
 }
--- a/internal/reducer/work.go
+++ b/internal/reducer/work.go
@@ -134,7 +134,7 @@
 				l.State = lg.Draining
 			}
 			news = append(news, l)
-			s.pool.Told(l.ID, l.State)
+			s.pool.SetServerState(l.ID, l.State)
 		}
 	}
 	if len(news) == 0 {
@@ -151,7 +151,7 @@
 func (s *State) cutNamed() {
 	for _, id := range s.work.set.Named() {
 		for _, l := range inOrder(s.legs) {
-			if l.Hop.ID != id || s.legs[LegID(l.ID)] != l {
+			if l.Server.ID != id || s.legs[LegID(l.ID)] != l {
 				continue
 			}
 			if c := s.fedBy(l); c != nil {
@@ -203,7 +203,7 @@
 // clear that discovery has dropped and listed again: legs of before stay open.
 func (s *State) openAt(id lg.ServerID) (n int) {
 	for _, l := range s.legs {
-		if l.Hop.ID == id {
+		if l.Server.ID == id {
 			n++
 		}
 	}
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/work_test.go
@@ -38,7 +38,7 @@
 			case Dial:
 				todo = append(todo, step(HopDialed{Leg: e.Leg, OK: true}, at)...)
 			case Forward:
-				got = got || s.legs[e.Leg].Hop.ID == id
+				got = got || s.legs[e.Leg].Server.ID == id
 				todo = append(todo, step(HopWritten{Leg: e.Leg, OK: true}, at)...)
 				todo = append(todo, step(HopAnswered{Leg: e.Leg, Result: lg.OK, Keep: true}, at)...)
 			}
--- a/internal/sendguard/sendguard.go
+++ b/internal/sendguard/sendguard.go
@@ -45,24 +45,24 @@
 	return total
 }
 
-// Place is where a server stands, for the repeats of keyed requests.
-type Place struct{ Zone, Cell int }
+// Location is where a server stands, for the repeats of keyed requests.
+type Location struct{ Zone, Cell int }
 
-// Ran is the first attempt of a request that may have run.
-type Ran struct {
-	At    time.Duration // when it was sent
-	Place Place
+// PriorAttempt is the first attempt of a request that may have run.
+type PriorAttempt struct {
+	SentAt   time.Duration // when it was sent
+	Location Location
 }
 
 // Attempt is an attempt that is about to be written to a server.
 type Attempt struct {
-	Now    time.Duration
-	State  lg.State // of the server, as it counts as told
-	Place  Place
-	Class  lg.Class
-	Ended  bool // the request has its final answer, or its client has left
-	AtOnce bool // another attempt is out
-	Ran    *Ran // nil: none may have run
+	Now      time.Duration
+	State    lg.State // of the server, as it counts as told
+	Location Location
+	Class    lg.Class
+	Ended    bool          // the request has its final answer, or its client has left
+	AtOnce   bool          // another attempt is out
+	Prior    *PriorAttempt // nil: none may have run
 	// Unconfirmed: lists are pushed, and this process has not heard of one yet
 	Unconfirmed bool
 	Expired     bool // the lease of the server list has run out
@@ -81,7 +81,7 @@
 		return Unconfirmed
 	case a.Expired:
 		return Expired
-	case a.Ran != nil && !repeatable(a):
+	case a.Prior != nil && !repeatable(a):
 		return Repeated
 	}
 	return None
@@ -93,13 +93,13 @@
 	case lg.Safe:
 		return true
 	case lg.Keyed:
-		return a.Now < a.Ran.At+a.Class.Memory && sameGroup(a.Class.Group, a.Place, a.Ran.Place)
+		return a.Now < a.Prior.SentAt+a.Class.Memory && sameGroup(a.Class.Group, a.Location, a.Prior.Location)
 	}
 	return false
 }
 
 // sameGroup tells whether two servers know of each other which keys have run.
-func sameGroup(g lg.Group, a, b Place) bool {
+func sameGroup(g lg.Group, a, b Location) bool {
 	switch g {
 	case lg.GroupZone:
 		return a.Zone == b.Zone
--- a/internal/serverlist/changes.go
+++ b/internal/serverlist/changes.go
@@ -11,10 +11,10 @@
 }
 
 // Changes lists what the last document that was taken in changed, by name. It holds until the next one.
-func (s *Set) Changes() []Change { return s.changed }
+func (s *Store) Changes() []Change { return s.changed }
 
 // Version is the version of the list as told last.
-func (s *Set) Version() uint64 { return s.version }
+func (s *Store) Version() uint64 { return s.version }
 
 // Name is the name of a server that the list names, "" for others.
-func (s *Set) Name(id lg.ServerID) string { return s.told[id].in.ID }
+func (s *Store) Name(id lg.ServerID) string { return s.told[id].in.ID }
--- a/internal/serverlist/decode.go
+++ b/internal/serverlist/decode.go
@@ -23,8 +23,8 @@
 	instances []instance
 }
 
-// Whole tells whether it names every server there is.
-func (d *Document) Whole() bool { return d.whole }
+// IsFull tells whether it names every server there is.
+func (d *Document) IsFull() bool { return d.whole }
 
 // instance is one line of a document.
 type instance struct {
--- a/internal/serverlist/decode_test.go
+++ b/internal/serverlist/decode_test.go
@@ -168,7 +168,7 @@
 	return last
 }
 
-func check(t *testing.T, seed uint64, s *Set, model map[string]string, known map[lg.ServerID]lg.Server) {
+func check(t *testing.T, seed uint64, s *Store, model map[string]string, known map[lg.ServerID]lg.Server) {
 	t.Helper()
 	if len(model) != len(known) || len(model) != len(s.told) {
 		t.Fatalf("seed %d: %d listed, %d known, %d by the Set", seed, len(model), len(known), len(s.told))
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -22,8 +22,8 @@
 	round uint64
 }
 
-// Set is the server list as last told.
-type Set struct {
+// Store is the server list as last told.
+type Store struct {
 	version uint64 // as told last; any number may be one, 0 too
 	changes bool   // what has changed since is wanted next, else the whole list
 
@@ -37,29 +37,29 @@
 
 // New returns an empty Set. The names give zones and kinds their numbers; epoch is the
 // moment at which the proxy's clock read 0, by the wall clock.
-func New(zones, kinds []string, epoch time.Time) *Set {
+func New(zones, kinds []string, epoch time.Time) *Store {
 	return emptySet(zones, kinds, newStarts(epoch))
 }
 
-// Anew returns an empty Set with other names, that knows what this one knows of servers' start times.
-func (s *Set) Anew(zones, kinds []string) *Set { return emptySet(zones, kinds, s.starts) }
+// WithNames returns an empty Set with other names, that knows what this one knows of servers' start times.
+func (s *Store) WithNames(zones, kinds []string) *Store { return emptySet(zones, kinds, s.starts) }
 
-func emptySet(zones, kinds []string, known *starts) *Set {
-	return &Set{zones: zones, kinds: kinds, starts: known, told: map[lg.ServerID]listed{}}
+func emptySet(zones, kinds []string, known *starts) *Store {
+	return &Store{zones: zones, kinds: kinds, starts: known, told: map[lg.ServerID]listed{}}
 }
 
 // Epoch is the Unix time at which the proxy's clock read 0, as far as is known.
-func (s *Set) Epoch() time.Duration { return s.starts.epoch() }
+func (s *Store) Epoch() time.Duration { return s.starts.epoch() }
 
 // ClockError is by how much the wall clock was wrong when the process started, as far as discovery's start
 // times tell; 0: nothing speaks against it.
-func (s *Set) ClockError() time.Duration { return s.starts.wall - s.starts.epoch() }
+func (s *Store) ClockError() time.Duration { return s.starts.wall - s.starts.epoch() }
 
 // SetEpoch has it be what another process on this machine knew, in place of what the wall clock said.
-func (s *Set) SetEpoch(epoch time.Duration) { s.starts.wall = epoch }
+func (s *Store) SetEpoch(epoch time.Duration) { s.starts.wall = epoch }
 
 // Address tells where a next hop listens, "" when the server list doesn't name it.
-func (s *Set) Address(id lg.ServerID) string { return s.told[id].in.Addr }
+func (s *Store) Address(id lg.ServerID) string { return s.told[id].in.Addr }
 
 // ID is the number of an instance, the same at every proxy. It comes from the instance's
 // name, since addresses may differ from one proxy to the next.
@@ -72,25 +72,25 @@
 	return h.Sum64()
 }
 
-// Forget has the whole list asked for next: another discovery may count its own way.
-func (s *Set) Forget() { s.changes = false }
+// RequestFull has the whole list asked for next: another discovery may count its own way.
+func (s *Store) RequestFull() { s.changes = false }
 
 // Apply takes in a document that discovery gave at a moment on the proxy's clock, and returns what it
 // changed: a list of changes, but for the first whole list, which is returned as such. One that does not fit
 // what is known changes nothing but what is asked for next: the last good server list stays, and the whole
 // list is wanted next.
-func (s *Set) Apply(doc Document, now time.Duration) (lg.List, error) {
+func (s *Store) Apply(doc Document, now time.Duration) (lg.List, error) {
 	if err := s.fits(doc); err != nil {
-		s.Forget()
+		s.RequestFull()
 		return lg.List{}, fmt.Errorf("server list: %w", err)
 	}
 	return s.learn(doc, now, false), nil
 }
 
-// Remember takes in a document from before this process.
-func (s *Set) Remember(doc Document, now time.Duration) (lg.List, error) {
+// ApplyCached takes in a document from before this process.
+func (s *Store) ApplyCached(doc Document, now time.Duration) (lg.List, error) {
 	if err := s.fits(doc); err != nil {
-		s.Forget()
+		s.RequestFull()
 		return lg.List{}, fmt.Errorf("server list: %w", err)
 	}
 	s.learn(doc, now, true)
@@ -102,7 +102,7 @@
 
 // ApplyLate takes a document in that answers a call which was given up, and tells whether it is of use: only
 // what is newer than what is known by then.
-func (s *Set) ApplyLate(doc Document, now time.Duration) (lg.List, bool) {
+func (s *Store) ApplyLate(doc Document, now time.Duration) (lg.List, bool) {
 	if s.fits(doc) != nil || !s.changes || doc.version <= s.version {
 		return lg.List{}, false
 	}
@@ -110,7 +110,7 @@
 }
 
 // fits tells what is wrong with a document beside what is known.
-func (s *Set) fits(doc Document) error {
+func (s *Store) fits(doc Document) error {
 	switch {
 	case !doc.whole && s.changes && doc.version < s.version:
 		return fmt.Errorf("changes up to %d, but %d is known", doc.version, s.version)
@@ -123,7 +123,7 @@
 
 // learn makes a document the one in force. What it returns has the servers' start times, and servers that it
 // does not name where it showed that they started later than was thought.
-func (s *Set) learn(doc Document, now time.Duration, cached bool) lg.List {
+func (s *Store) learn(doc Document, now time.Duration, cached bool) lg.List {
 	s.starts.learn(doc.instances, now, cached)
 	younger := s.starts.correct(now)
 	s.round++
@@ -147,7 +147,7 @@
 }
 
 // take makes a line of a document the one in force, and notes what it changed.
-func (s *Set) take(list *lg.List, in instance) {
+func (s *Store) take(list *lg.List, in instance) {
 	before, known := s.told[in.key]
 	gone := states[in.State] == lg.Gone
 	if known && before.in == in {
@@ -172,7 +172,7 @@
 }
 
 // dropUnnamed drops the servers that a whole list does not name.
-func (s *Set) dropUnnamed(list *lg.List, doc Document) {
+func (s *Store) dropUnnamed(list *lg.List, doc Document) {
 	named := 0
 	for _, in := range doc.instances {
 		if states[in.State] != lg.Gone {
@@ -194,7 +194,7 @@
 }
 
 // addYounger adds servers that a list does not name and that started later than was thought.
-func (s *Set) addYounger(list *lg.List, younger []lg.ServerID) {
+func (s *Store) addYounger(list *lg.List, younger []lg.ServerID) {
 	if len(younger) == 0 {
 		return
 	}
@@ -210,7 +210,7 @@
 }
 
 // all is the whole list as it is known, by id.
-func (s *Set) all() lg.List {
+func (s *Store) all() lg.List {
 	list := lg.List{Kind: lg.FullList, Servers: make([]lg.Server, 0, len(s.told))}
 	for _, one := range s.told {
 		list.Servers = append(list.Servers, s.server(one.in))
@@ -220,7 +220,7 @@
 }
 
 // server is an instance as the decision module knows it.
-func (s *Set) server(in instance) lg.Server {
+func (s *Store) server(in instance) lg.Server {
 	return lg.Server{ID: in.key, Zone: slices.Index(s.zones, in.Zone), Kind: slices.Index(s.kinds, in.Kind),
 		Cell: in.Cell, State: states[in.State], Weight: in.Weight, Started: s.starts.moment(in)}
 }
@@ -234,7 +234,7 @@
 }
 
 // Instances lists the server list by name.
-func (s *Set) Instances() (all []Listed) {
+func (s *Store) Instances() (all []Listed) {
 	for _, one := range s.told {
 		in := one.in
 		all = append(all, Listed{in.ID, in.Zone, in.Kind, states[in.State], in.Weight, in.Started})
@@ -243,8 +243,8 @@
 	return all
 }
 
-// Document words the server list as discovery would, for another process of this proxy.
-func (s *Set) Document() []byte {
+// Encode words the server list as discovery would, for another process of this proxy.
+func (s *Store) Encode() []byte {
 	doc := struct {
 		Version   uint64     `json:"generation"`
 		Whole     bool       `json:"reset"`
@@ -260,13 +260,13 @@
 	return raw
 }
 
-// Watches tells whether the next call may wait for what changes: it does not ask for the whole list.
-func (s *Set) Watches() bool { return s.changes }
+// CanWatch tells whether the next call may wait for what changes: it does not ask for the whole list.
+func (s *Store) CanWatch() bool { return s.changes }
 
 // Query is what to ask discovery for next: the whole list, or a watch on what has changed
 // since the version that is known, lasting at most until the given time; one that must not wait asks for the
 // least that is no special case of any list service, a millisecond.
-func (s *Set) Query(now, until time.Duration) string {
+func (s *Store) Query(now, until time.Duration) string {
 	if !s.changes {
 		return "/v1/servers"
 	}
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -25,16 +25,16 @@
 }
 
 // apply reads a document and has a Set take it in, as the sockets do.
-func apply(s *Set, raw []byte, now time.Duration) (lg.List, error) {
+func apply(s *Store, raw []byte, now time.Duration) (lg.List, error) {
 	doc, err := new(Decoder).Decode(raw)
 	if err != nil {
-		s.Forget()
+		s.RequestFull()
 		return lg.List{}, err
 	}
 	return s.Apply(doc, now)
 }
 
-func applyLate(s *Set, raw []byte, now time.Duration) (lg.List, bool) {
+func applyLate(s *Store, raw []byte, now time.Duration) (lg.List, bool) {
 	doc, err := new(Decoder).Decode(raw)
 	if err != nil {
 		return lg.List{}, false
@@ -42,17 +42,17 @@
 	return s.ApplyLate(doc, now)
 }
 
-func remember(s *Set, raw []byte, now time.Duration) (lg.List, error) {
+func remember(s *Store, raw []byte, now time.Duration) (lg.List, error) {
 	doc, err := new(Decoder).Decode(raw)
 	if err != nil {
 		return lg.List{}, err
 	}
-	return s.Remember(doc, now)
+	return s.ApplyCached(doc, now)
 }
 
 var good = entry("s-1", "127.0.0.1:81", "ready", "1.5", "1700000060000")
 
-func newSet(t *testing.T) *Set {
+func newSet(t *testing.T) *Store {
 	s := New([]string{"a", "b"}, []string{"m1", "m2"}, time.UnixMilli(1700000000000))
 	if _, err := apply(s, doc("41", "true", good), testNow); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 			t.Errorf("%d known: %v, query %s", len(tc.entries), err, s.Query(0, time.Second))
 		}
 	}
-	if s.Forget(); s.Query(0, time.Second) != "/v1/servers" {
+	if s.RequestFull(); s.Query(0, time.Second) != "/v1/servers" {
 		t.Error("another discovery is asked for changes only")
 	}
 }
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -121,7 +121,7 @@
 			p.watcher.stop()
 		}
 		if p.watcher != nil && p.watcher.address != e.Text {
-			p.servers.Forget()
+			p.servers.RequestFull()
 		}
 		p.watcher = newWatcher(e.Text, p.inbox, p.clock, p.decoder)
 		go p.watcher.run()
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -188,7 +188,7 @@
 	began := time.Now()
 	list, err := lg.List{Kind: lg.ListFailed}, d.err
 	if d.unusable {
-		p.servers.Forget()
+		p.servers.RequestFull()
 	}
 	if err == nil {
 		var told lg.List
@@ -200,7 +200,7 @@
 	if err == nil {
 		p.logChanges()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches(), Complete: d.list.Whole(),
+	p.step(reducer.ListTold{List: list, Whole: !p.servers.CanWatch(), Complete: d.list.IsFull(),
 		Work: d.decoding + time.Since(began)})
 	if err == nil {
 		p.inventory()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -86,17 +86,18 @@
 	var list lg.List
 	doc, err := p.decoder.Decode(raw)
 	if err == nil {
-		list, err = p.servers.Remember(doc, p.now())
+		list, err = p.servers.ApplyCached(doc, p.now())
 	}
 	if err != nil {
-		p.servers.Forget()
+		p.servers.RequestFull()
 		log.Printf("known: %v", err)
 		return false
 	}
 	if !p.set.AskForList {
-		p.servers.Forget() // guards against a watch that waits for news, while what is known counts as outdated
+		// guards against a watch that waits for news, while what is known counts as outdated
+		p.servers.RequestFull()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
+	p.step(reducer.ListTold{List: list, Whole: !p.servers.CanWatch()})
 	return true
 }
 
@@ -133,7 +134,7 @@
 		return
 	}
 	p.saver.last = time.Now()
-	h := upgrade.Handover{Routes: p.servers.Document(), Learned: p.state.Learned()}
+	h := upgrade.Handover{Routes: p.servers.Encode(), Learned: p.state.Learned()}
 	now := upgrade.Now()
 	h.Stamp(now)
 	if now.Monotonic > 0 {
@@ -179,8 +180,8 @@
 	set.Settings = set.Settings.After(before.Settings)
 	p.set, p.stale = set, p.now()+staleFor
 	if !slices.Equal(before.ZoneNames, set.ZoneNames) || !slices.Equal(before.KindNames, set.KindNames) {
-		known = p.servers.Document()
-		p.servers = p.servers.Anew(set.ZoneNames, set.KindNames)
+		known = p.servers.Encode()
+		p.servers = p.servers.WithNames(set.ZoneNames, set.KindNames)
 	}
 	return known
 }
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -53,7 +53,7 @@
 	clock
 	inbox    *inbox
 	state    *reducer.State
-	servers  *serverlist.Set
+	servers  *serverlist.Store
 	decoder  *serverlist.Decoder
 	watcher  *watcher
 	listener *listener
