--- a/internal/reducer/events.go
+++ b/internal/reducer/events.go
@@ -97,7 +97,7 @@
 	LocalFault bool
 }
 
-func (ev ServerDialed) opening() pool.Opening {
+func (ev ServerDialed) opening() pool.OpenResult {
 	switch {
 	case ev.OK:
 		return pool.OpenOK
--- a/internal/reducer/guard_test.go
+++ b/internal/reducer/guard_test.go
@@ -54,7 +54,7 @@
 			case Dial:
 				next = append(next, ServerDialed{Conn: e.Conn, OK: true})
 			case Forward:
-				g.forwards, g.last = append(g.forwards, g.s.legs[e.Conn].Hop.ID), e.Conn
+				g.forwards, g.last = append(g.forwards, g.s.legs[e.Conn].Server.ID), e.Conn
 				next = append(next, RequestWritten{Conn: e.Conn, OK: true})
 			case AnswerClient:
 				g.verdicts = append(g.verdicts, e.Verdict)
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/work_test.go
@@ -38,7 +38,7 @@
 			case Dial:
 				todo = append(todo, step(ServerDialed{Conn: e.Conn, OK: true}, at)...)
 			case Forward:
-				got = got || s.legs[e.Conn].Hop.ID == id
+				got = got || s.legs[e.Conn].Server.ID == id
 				todo = append(todo, step(RequestWritten{Conn: e.Conn, OK: true}, at)...)
 				todo = append(todo, step(ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}, at)...)
 			}
