--- a/cmd/lilacglade/main.go
+++ b/cmd/lilacglade/main.go
@@ -99,19 +99,19 @@
 	if *trace {
 		options.Trace = func(line string) { log.Print(line) }
 	}
-	return transport.ServeBy(ctx, node, reloads(hups, getenv, node), options)
+	return transport.ServeWithOptions(ctx, node, reloads(hups, getenv, node), options)
 }
 
 // reloads reads the configuration again at each SIGHUP. One that can't be served changes nothing.
-func reloads(hups <-chan os.Signal, getenv func(string) string, inForce settings.Node) <-chan transport.Load {
-	out := make(chan transport.Load)
+func reloads(hups <-chan os.Signal, getenv func(string) string, inForce settings.Node) <-chan transport.Reload {
+	out := make(chan transport.Reload)
 	go func() {
 		for range hups {
 			node, err := settings.Reload(getenv, inForce)
 			if err == nil {
 				inForce = node
 			}
-			out <- transport.Load{Node: node, Err: err}
+			out <- transport.Reload{Node: node, Err: err}
 		}
 	}()
 	return out
--- a/cmd/lilalab/sockets.go
+++ b/cmd/lilalab/sockets.go
@@ -80,15 +80,15 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			reloads := make(chan transport.Load)
+			reloads := make(chan transport.Reload)
 			go func() {
 				for range hups {
 					if n, err := settings.Reload(os.Getenv, node); err == nil {
-						reloads <- transport.Load{Node: n}
+						reloads <- transport.Reload{Node: n}
 					}
 				}
 			}()
-			return transport.ServeBy(ctx, node, reloads, transport.Options{Decider: decider})
+			return transport.ServeWithOptions(ctx, node, reloads, transport.Options{Decider: decider})
 		}}
 	c.Flags().StringVar(&policy, "policy", "", "the policy")
 	return c
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -186,14 +186,14 @@
 	r.stop()
 	other := r.node
 	other.Discovery = newParty(t).addr
-	r.loads <- Load{Err: errors.New("spoilt")}
-	r.loads <- Load{Node: r.node}
+	r.loads <- Reload{Err: errors.New("spoilt")}
+	r.loads <- Reload{Node: r.node}
 	caller.r.Discard(2)
 	caller.send("abc")
 	asks.send(answerOf(known(2, server)))
 	s := server.next()
 	s.request()
-	r.loads <- Load{Node: other}
+	r.loads <- Reload{Node: other}
 	s.send(answerOf("one"))
 	if status, body, err := caller.answer(); status != 200 || body != "one" || err != nil {
 		t.Errorf("got %d %q, %v", status, body, err)
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -91,7 +91,7 @@
 		call     uint64        // the number of the call that it answers
 		took     time.Duration // from the call's beginning to its end
 	}
-	reloaded struct{ load Load }
+	reloaded struct{ load Reload }
 	stopping struct{}
 	alone    struct{} // the process before this one has ended
 	easing   struct{ leg *leg }
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -79,17 +79,17 @@
 	return sockets * callerParts / (callerParts + hopParts), sockets * hopParts / (callerParts + hopParts)
 }
 
-// Load is the outcome of reading a new configuration.
-type Load struct {
+// Reload is the outcome of reading a new configuration.
+type Reload struct {
 	Node settings.Node
 	Err  error // why it was turned down; nothing of it counts then
 }
 
 // Serve runs the proxy until ctx ends and all it has taken is answered. What comes from reloads
 // is a new configuration. Trace may be nil.
-func Serve(ctx context.Context, node settings.Node, reloads <-chan Load,
+func Serve(ctx context.Context, node settings.Node, reloads <-chan Reload,
 	trace reducer.Tracer) error {
-	return ServeBy(ctx, node, reloads, Options{Trace: trace})
+	return ServeWithOptions(ctx, node, reloads, Options{Trace: trace})
 }
 
 // Options are what a proxy may have besides.
@@ -99,8 +99,8 @@
 	Peers   *peers.Config   // nil: it talks to no other proxy
 }
 
-// ServeBy runs the proxy with options.
-func ServeBy(ctx context.Context, node settings.Node, reloads <-chan Load, o Options) error {
+// ServeWithOptions runs the proxy with options.
+func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, o Options) error {
 	p := &proxy{set: node.Settings, clock: startClock(), inbox: newInbox(),
 		callers: map[reducer.LegID]*leg{}, hops: map[reducer.LegID]*leg{}, timer: time.NewTimer(0),
 		observed: newObserver(), decoder: new(serverlist.Decoder)}
--- a/internal/transport/stand_test.go
+++ b/internal/transport/stand_test.go
@@ -23,7 +23,7 @@
 	addr   string
 	disc   *party
 	stop   context.CancelFunc // as SIGTERM
-	loads  chan Load          // as SIGHUP
+	loads  chan Reload          // as SIGHUP
 	ended  chan error
 	node   settings.Node
 	closed bool
@@ -152,7 +152,7 @@
 // serve starts a proxy that knows the given list from its start; what it asks discovery is left to the test.
 func serve(t *testing.T, list string, change ...func(*settings.Node)) *running {
 	t.Helper()
-	r := &running{t: t, addr: freeAddr(t), disc: newParty(t), loads: make(chan Load, 1),
+	r := &running{t: t, addr: freeAddr(t), disc: newParty(t), loads: make(chan Reload, 1),
 		ended: make(chan error, 1)}
 	raw, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
