--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -79,9 +79,9 @@
 // it.
 var wallClockFiles = map[string]string{
 	"internal/transport/observe.go":  "logs that the wall clock was stepped",
-	"internal/transport/raw.go":      "deadlines of the standard library's connections, by its monotonic clock",
-	"internal/transport/flow.go":     "the same",
-	"internal/transport/transfer.go": "the same",
+	"internal/transport/detached.go": "deadlines of the standard library's connections, by its monotonic clock",
+	"internal/transport/stream.go":   "the same",
+	"internal/transport/write.go":    "the same",
 	"internal/peers/link.go":         "the same",
 	"cmd/lilacglade/work.go":         "the same",
 	"internal/serverlist/starts.go":  "the epoch of start times, which discovery tells in Unix time",
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -10,97 +10,97 @@
 
 // readCaller looks for the next request on a caller leg. Requests are taken one at a time. Cut
 // says that the caller had sent more than is read ahead.
-func (p *proxy) readCaller(g *leg, cut bool) {
-	if g.parted {
+func (p *proxy) readClient(conn *connection, truncated bool) {
+	if conn.closing {
 		return
 	}
-	if g.busy {
+	if conn.busy {
 		// Guards against a caller that sends on and on without waiting for answers. What it asked
 		// first is still answered.
-		if cut || g.parser.Held() > heldWhileBusy {
-			g.deaf.Store(true)
-			p.step(reducer.CallerFlooding{Leg: g.id})
+		if truncated || conn.parser.Held() > maxPipelinedBytes {
+			conn.discarding.Store(true)
+			p.step(reducer.CallerFlooding{Leg: conn.id})
 		}
 		return
 	}
-	m, err := g.parser.Next()
-	if err != nil || m != nil || cut {
-		g.busy = true
-		g.asking.Store(true)
+	message, err := conn.parser.Next()
+	if err != nil || message != nil || truncated {
+		conn.busy = true
+		conn.requestPending.Store(true)
 	}
 	switch {
 	case err != nil:
-		p.step(unreadable(g.id, err))
-	case m != nil:
-		p.ask(g, m)
-		p.readCaller(g, cut)
-	case cut:
-		p.step(unreadable(g.id, http1.ErrBodySize))
-	case g.parser.Partial():
-		if g.parser.WantsContinue() {
-			g.write(job{bufs: http1.Continue(), by: p.now() + continueWithin})
+		p.step(parseFailure(conn.id, err))
+	case message != nil:
+		p.handleRequest(conn, message)
+		p.readClient(conn, truncated)
+	case truncated:
+		p.step(parseFailure(conn.id, http1.ErrBodySize))
+	case conn.parser.Partial():
+		if conn.parser.WantsContinue() {
+			conn.write(writeJob{buffers: http1.Continue(), deadline: p.now() + continueTimeout})
 		}
-		if g.parser.Large() && g.isRaw {
-			p.upload(g)
+		if conn.parser.Large() && conn.isDetached {
+			p.startUpload(conn)
 			return
 		}
-		if g.parser.Head() && g.headAt.IsZero() {
-			g.headAt = g.read
+		if conn.parser.Head() && conn.headTime.IsZero() {
+			conn.headTime = conn.lastRead
 		}
-		ev := reducer.CallerReading{Leg: g.id}
-		if !g.headAt.IsZero() {
-			ev.Took = time.Duration(g.parser.Came()) * time.Second / uploadRate
-			ev.By = p.at(g.headAt) + uploadGrace + ev.Took
+		event := reducer.CallerReading{Leg: conn.id}
+		if !conn.headTime.IsZero() {
+			event.Took = time.Duration(conn.parser.Came()) * time.Second / minUploadRate
+			event.By = p.at(conn.headTime) + uploadPauseBudget + event.Took
 		}
-		p.step(ev)
-		if g.parser.Large() {
-			g.pause(false)
+		p.step(event)
+		if conn.parser.Large() {
+			conn.requestDetach(false)
 		}
 	}
 }
 
 // ask brings a whole request.
-func (p *proxy) ask(g *leg, m *http1.Message) {
-	g.old, g.headAt = m.Old, time.Time{}
-	m.Close = m.Close || m.Old
-	p.step(p.asked(g, m))
+func (p *proxy) handleRequest(conn *connection, message *http1.Message) {
+	conn.http10, conn.headTime = message.Old, time.Time{}
+	message.Close = message.Close || message.Old
+	p.step(p.parsedRequest(conn, message))
 }
 
 // asked words a request's event. Guards against refusing what was on its way when its class was dropped.
-func (p *proxy) asked(g *leg, m *http1.Message) reducer.Event {
-	read := p.at(g.read)
-	ev := asked(&p.set, read < p.stale, g.id, m, read-g.late)
-	g.late = 0
-	if ask, ok := ev.(reducer.CallerAsked); ok {
-		g.asked = ask.Name
+func (p *proxy) parsedRequest(conn *connection, message *http1.Message) reducer.Event {
+	readAt := p.at(conn.lastRead)
+	event := requestEvent(&p.settings, readAt < p.staleClassesUntil, conn.id, message, readAt-conn.requestDelay)
+	conn.requestDelay = 0
+	if request, ok := event.(reducer.CallerAsked); ok {
+		conn.requestID = request.Name
 	}
-	return ev
+	return event
 }
 
 // upload begins to pass on a request whose body is large.
-func (p *proxy) upload(g *leg) {
-	g.busy = true
-	g.asking.Store(true)
-	m, body, rest := g.parser.Stream()
+func (p *proxy) startUpload(conn *connection) {
+	conn.busy = true
+	conn.requestPending.Store(true)
+	message, body, rest := conn.parser.Stream()
 	if body.Done { // all of it had been read before reading could be paused
-		g.parser.Feed(bytes.Clone(rest))
-		p.ask(g, m)
+		conn.parser.Feed(bytes.Clone(rest))
+		p.handleRequest(conn, message)
 		return
 	}
-	closes := m.Close || m.Old
-	m.Close = true // nothing that is answered before its end can be followed by another request
-	g.old, g.headAt = m.Old, time.Time{}
-	ev := p.asked(g, m)
-	if ask, ok := ev.(reducer.CallerAsked); ok {
-		f := &flow{m: m, from: g, length: body.Known(), windows: p.windows, upload: true, body: body}
-		g.streaming = true
-		left := f.length - body.Came()
-		if f.length < 0 {
-			left = http1.MaxLarge
+	closeAfter := message.Close || message.Old
+	message.Close = true // nothing that is answered before its end can be followed by another request
+	conn.http10, conn.headTime = message.Old, time.Time{}
+	event := p.parsedRequest(conn, message)
+	if request, ok := event.(reducer.CallerAsked); ok {
+		stream := &bodyStream{message: message, source: conn, length: body.Known(), buffers: p.buffers, isUpload: true, body: body}
+		conn.streaming = true
+		remaining := stream.length - body.Came()
+		if stream.length < 0 {
+			remaining = http1.MaxLarge
 		}
-		ask.Stream, ask.May, ask.Last, ask.Payload = true, ask.Deadline-p.at(g.read), closes, f
-		ask.Deadline += uploadGrace + time.Duration(left)*time.Second/uploadRate
-		ev = ask
+		request.Stream, request.May, request.Last, request.Payload = true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
+		request.Deadline += uploadPauseBudget + time.Duration(remaining)*time.Second/minUploadRate
+		event = request
 	}
-	p.step(ev)
+	p.step(event)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/conn_test.go
@@ -18,7 +18,7 @@
 )
 
 // far only ends a test that hangs.
-const far = time.Minute
+const testTimeout = time.Minute
 
 // TestClosingWhileWriting guards against filling a write buffer that the library is freeing:
 // each write reports exactly once, and so does the end of the leg, however they cross.
@@ -27,34 +27,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop, err := netpoll.NewEventLoop(func(_ context.Context, c netpoll.Connection) error {
-		return c.Close() // so that legs break from the other side, too
+	loop, err := netpoll.NewEventLoop(func(_ context.Context, accepted netpoll.Connection) error {
+		return accepted.Close() // so that legs break from the other side, too
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go loop.Serve(ln)
-	bufs := make([][]byte, 500) // filling in so many takes a while
-	for i := range bufs {
-		bufs[i] = make([]byte, 100)
+	buffers := make([][]byte, 500) // filling in so many takes a while
+	for i := range buffers {
+		buffers[i] = make([]byte, 100)
 	}
 	for round := range 300 {
-		box := newInbox()
-		g := &leg{inbox: box, clock: startClock(), parser: http1.Parser{Responses: true}}
-		conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), far)
+		inbox := newInbox()
+		conn := &connection{inbox: inbox, clock: newClock(), parser: http1.Parser{Responses: true}}
+		socket, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 		// The library's race build finds a connection by its descriptor, and takes the end of the last one for
 		// that of a new one with the same number.
 		for tries := 0; err != nil && tries < 9; tries++ {
-			conn, err = netpoll.DialConnection("tcp", ln.Addr().String(), far)
+			socket, err = netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		const jobs = 4
 		reports, ends := 0, 0
-		if g.open(conn) {
+		if conn.open(socket) {
 			for range jobs {
-				g.write(job{bufs: bufs, by: g.clock.now() + far, report: true})
+				conn.write(writeJob{buffers: buffers, deadline: conn.clock.now() + testTimeout, report: true})
 			}
 		} else {
 			reports = jobs
@@ -62,14 +62,14 @@
 		for range round % 4 {
 			runtime.Gosched()
 		}
-		g.close()
+		conn.close()
 		for reports < jobs || ends < 1 {
-			<-box.wake
-			for _, item := range box.take(nil) {
+			<-inbox.wake
+			for _, item := range inbox.takeAll(nil) {
 				switch item.(type) {
 				case written:
 					reports++
-				case broken:
+				case connClosed:
 					ends++
 				}
 			}
@@ -81,14 +81,14 @@
 }
 
 // hop returns an open hop leg and the other side of it.
-func hop(t *testing.T) (*leg, net.Conn) {
+func openServerConn(t *testing.T) (*connection, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), far)
+	socket, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,26 +96,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &leg{inbox: newInbox(), clock: startClock(), parser: http1.Parser{Responses: true}}
-	if t.Cleanup(func() { g.close(); other.Close() }); !g.open(conn) {
+	conn := &connection{inbox: newInbox(), clock: newClock(), parser: http1.Parser{Responses: true}}
+	if t.Cleanup(func() { conn.close(); other.Close() }); !conn.open(socket) {
 		t.Fatal("not open")
 	}
-	return g, other
+	return conn, other
 }
 
 // TestUnfitLegs guards against writing a request on a hop leg where something has come that the
 // request would take for its answer, wherever that is on its way, or that the other side ended.
-func TestUnfitLegs(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
-		"noise": func(c net.Conn) { c.Write([]byte("x")) },
-		"end":   func(c net.Conn) { c.Close() },
+func TestUnusableServerConnections(t *testing.T) {
+	for name, disturb := range map[string]func(net.Conn){
+		"noise": func(peer net.Conn) { peer.Write([]byte("x")) },
+		"end":   func(peer net.Conn) { peer.Close() },
 	} {
-		g, other := hop(t)
-		if !g.fit() {
+		conn, other := openServerConn(t)
+		if !conn.usable() {
 			t.Fatalf("%s: unfit from the start", name)
 		}
-		spoil(other)
-		for end := time.Now().Add(far); g.fit(); {
+		disturb(other)
+		for end := time.Now().Add(testTimeout); conn.usable(); {
 			if time.Now().After(end) {
 				t.Fatalf("%s: still fit", name)
 			}
@@ -125,29 +125,29 @@
 
 // TestReadAheadIsBounded guards against a caller that is faster than the reducer while its request is
 // in work: what waits stays within one message, and it is told once that the rest was dropped.
-func TestReadAheadIsBounded(t *testing.T) {
-	g, other := hop(t)
-	g.asking.Store(true)
-	sent := make([]byte, 8*maxUnread)
+func TestReadAheadIsLimited(t *testing.T) {
+	conn, other := openServerConn(t)
+	conn.requestPending.Store(true)
+	sent := make([]byte, 8*maxQueuedBytes)
 	if _, err := other.Write(sent); err != nil { // all is read, though nobody takes it
 		t.Fatal(err)
 	}
 	other.Close()
 	cuts, got := 0, 0
 	for ended := false; !ended; {
-		<-g.inbox.wake
-		for _, item := range g.inbox.take(nil) {
+		<-conn.inbox.wake
+		for _, item := range conn.inbox.takeAll(nil) {
 			switch item := item.(type) {
 			case bytesIn:
-				if got += len(item.data); item.cut {
+				if got += len(item.data); item.truncated {
 					cuts++
 				}
-			case broken:
+			case connClosed:
 				ended = true
 			}
 		}
 	}
-	if cuts != 1 || got > maxUnread {
+	if cuts != 1 || got > maxQueuedBytes {
 		t.Errorf("%d bytes kept, told %d times", got, cuts)
 	}
 }
@@ -155,7 +155,7 @@
 // TestReadingPauses guards against keeping in memory what comes faster than it is taken: a leg that
 // brings much is read from no more, its sender has to wait, and nothing of it is lost.
 func TestReadingPauses(t *testing.T) {
-	g, other := hop(t)
+	conn, other := openServerConn(t)
 	const all = 256 << 20
 	sent := make(chan error, 1)
 	go func() {
@@ -173,24 +173,24 @@
 	}()
 	var got []byte
 	for paused := false; !paused; {
-		<-g.inbox.wake
-		for _, item := range g.inbox.take(nil) {
+		<-conn.inbox.wake
+		for _, item := range conn.inbox.takeAll(nil) {
 			switch item := item.(type) {
 			case bytesIn:
 				got = append(got, item.data...)
 			case detached:
 				paused = true
-			case broken:
+			case connClosed:
 				t.Fatal("broken")
 			}
 		}
 	}
 	before := len(got)
-	g.isRaw = true
+	conn.isDetached = true
 	if got = append(got, make([]byte, 1<<20)...); before == all {
 		t.Fatal("all was read")
 	}
-	if n, err := io.ReadFull(g.raw, got[before:]); err != nil {
+	if n, err := io.ReadFull(conn.stdConn, got[before:]); err != nil {
 		t.Fatal(n, err)
 	}
 	for i, b := range got {
@@ -198,37 +198,37 @@
 			t.Fatalf("byte %d of %d lost", i, before)
 		}
 	}
-	g.close()
+	conn.close()
 	if err := <-sent; err == nil {
 		t.Error("the sender never had to wait")
 	}
 }
 
 // TestListenerTurnsAway guards against running out of descriptors.
-func TestListenerTurnsAway(t *testing.T) {
-	bare, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
+func TestListenerRejectsAboveLimit(t *testing.T) {
+	socket, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer bare.Close()
-	ln := newListener(bare, 0)
-	for _, most := range []int64{1, 0} {
-		ln.most.Store(most)
-		c, err := net.Dial("tcp", bare.Addr().String())
+	defer socket.Close()
+	ln := newListener(socket, 0)
+	for _, maxConns := range []int64{1, 0} {
+		ln.maxConns.Store(maxConns)
+		client, err := net.Dial("tcp", socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer client.Close()
 		conn, err := ln.Accept()
-		if err != nil || (conn != nil) != (most > 0) {
-			t.Errorf("at most %d: got %v, %v", most, conn, err)
+		if err != nil || (conn != nil) != (maxConns > 0) {
+			t.Errorf("at most %d: got %v, %v", maxConns, conn, err)
 		}
 		if conn != nil {
 			conn.Close()
 		}
-		c.SetDeadline(time.Now().Add(far))
-		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("at most %d: not closed, %v", most, err)
+		client.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := client.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("at most %d: not closed, %v", maxConns, err)
 		}
 	}
 }
@@ -244,23 +244,23 @@
 		"":                                 {},
 	}
 	for text, want := range tests {
-		if got := load(names, []byte(text)); got != want {
+		if got := parseLoadReport(names, []byte(text)); got != want {
 			t.Errorf("%q: got %+v, want %+v", text, got, want)
 		}
 	}
 }
 
-func TestAdviceIsInSeconds(t *testing.T) {
+func TestRetryAfterIsInSeconds(t *testing.T) {
 	tests := map[time.Duration]string{time.Second: "1", 250 * time.Millisecond: "0.250", 0: ""}
 	for advice, want := range tests {
 		var p http1.Parser
 		p.Responses = true
-		for _, b := range answer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
+		for _, b := range encodeAnswer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
 			p.Feed(append([]byte(nil), b...))
 		}
-		m, err := p.Next()
-		if err != nil || m.Status != 503 || string(m.Get("Retry-After")) != want {
-			t.Errorf("%v: got %+v, %v", advice, m, err)
+		message, err := p.Next()
+		if err != nil || message.Status != 503 || string(message.Get("Retry-After")) != want {
+			t.Errorf("%v: got %+v, %v", advice, message, err)
 		}
 	}
 }
--- a/internal/transport/raw.go
+++ b/internal/transport/detached.go
@@ -22,7 +22,7 @@
 // raw.
 
 // pullSize is what is read from a raw leg at a time.
-const pullSize = 16 << 10
+const readSize = 16 << 10
 
 // The library runs one poller. What it has read calls for the leg's handler, which is run before the
 // poller goes on. Guards against a poller that reads megabytes from a fast sender before a handler gets
@@ -36,10 +36,10 @@
 
 // barrier tells when the poller is done with the events that it was handling.
 type barrier struct {
-	mu     sync.Mutex
-	conn   netpoll.Connection // nil until it is first needed
-	fd     int                // writing here is an event of conn
-	passed chan struct{}
+	mu   sync.Mutex
+	conn netpoll.Connection // nil until it is first needed
+	fd   int                // writing here is an event of conn
+	done chan struct{}
 }
 
 var pollerBarrier barrier
@@ -53,99 +53,99 @@
 		if err != nil {
 			return err
 		}
-		conn, err := netpoll.NewFDConnection(fds[0])
+		socket, err := netpoll.NewFDConnection(fds[0])
 		if err != nil {
 			return err
 		}
-		b.fd, b.passed = fds[1], make(chan struct{}, 1)
-		if err := conn.SetOnRequest(func(_ context.Context, c netpoll.Connection) error {
-			err := c.Reader().Skip(c.Reader().Len())
-			b.passed <- struct{}{}
-			return errors.Join(err, c.Reader().Release())
+		b.fd, b.done = fds[1], make(chan struct{}, 1)
+		if err := socket.SetOnRequest(func(_ context.Context, ready netpoll.Connection) error {
+			err := ready.Reader().Skip(ready.Reader().Len())
+			b.done <- struct{}{}
+			return errors.Join(err, ready.Reader().Release())
 		}); err != nil {
 			return err
 		}
-		b.conn = conn
+		b.conn = socket
 	}
 	if _, err := syscall.Write(b.fd, []byte{1}); err != nil {
 		return err
 	}
-	<-b.passed
+	<-b.done
 	return nil
 }
 
 // pause detaches a leg from the library, behind what is being written on it. Its bytes that were read by
 // then come first, then detached.
-func (g *leg) pause(handling bool) {
-	g.mu.Lock()
-	if g.pausing || g.gone {
-		g.mu.Unlock()
+func (c *connection) requestDetach(inHandler bool) {
+	c.mu.Lock()
+	if c.detachRequested || c.buffersFreed {
+		c.mu.Unlock()
 		return
 	}
-	g.pausing = true
-	if g.writing {
-		g.jobs = append(g.jobs, job{detach: true})
-		g.mu.Unlock()
+	c.detachRequested = true
+	if c.writing {
+		c.jobs = append(c.jobs, writeJob{detach: true})
+		c.mu.Unlock()
 		return
 	}
-	g.mu.Unlock()
-	if handling { // what follows waits until the handler is through
-		g.detach()
+	c.mu.Unlock()
+	if inHandler { // what follows waits until the handler is through
+		c.detach()
 		return
 	}
-	go g.detach()
+	go c.detach()
 }
 
-func (g *leg) detach() {
-	g.mu.Lock()
-	g.leaving = true
-	g.mu.Unlock()
-	_ = g.conn.Close() // ended, which it calls, keeps a descriptor of the connection
+func (c *connection) detach() {
+	c.mu.Lock()
+	c.detaching = true
+	c.mu.Unlock()
+	_ = c.socket.Close() // ended, which it calls, keeps a descriptor of the connection
 }
 
 // ended is the library's last call for a connection: it has closed it, or it was detached.
-func (g *leg) ended(conn netpoll.Connection) {
+func (c *connection) onSocketClosed(socket netpoll.Connection) {
 	// Guards against losing what the poller reads at this moment: it was told that it has nothing to do
 	// with the connection any more, but may still be handling an event of it, unless it has ended it
 	// itself.
-	g.mu.Lock()
-	leaving := g.leaving && !g.shut
-	g.mu.Unlock()
-	if leaving {
-		unregister(conn)
+	c.mu.Lock()
+	detaching := c.detaching && !c.closedLocally
+	c.mu.Unlock()
+	if detaching {
+		unregister(socket)
 	}
-	if leaving && !g.hup.Load() {
+	if detaching && !c.pollerClosed.Load() {
 		if err := pollerBarrier.wait(); err != nil {
 			log.Printf("a leg can't be detached: %v", err)
-			g.close()
+			c.close()
 		}
 	}
-	c, ok := conn.(netpoll.Conn)
-	reset := !ok || wasReset(c.Fd())
+	descriptor, ok := socket.(netpoll.Conn)
+	reset := !ok || wasReset(descriptor.Fd())
 	// The library frees its buffers right after this: guards against a writer that is filling them at
 	// that moment.
-	g.mu.Lock()
-	g.gone = true
+	c.mu.Lock()
+	c.buffersFreed = true
 	var err error
-	if g.pausing && !g.shut {
-		g.raw, err = own(conn)
+	if c.detachRequested && !c.closedLocally {
+		c.stdConn, err = duplicateConn(socket)
 	}
-	kept := g.raw != nil
-	close(g.rawSet)
-	g.mu.Unlock()
+	kept := c.stdConn != nil
+	close(c.stdConnReady)
+	c.mu.Unlock()
 	if err != nil || !kept {
-		g.over()
-		g.inbox.post(broken{g, reset})
+		c.releaseDescriptor()
+		c.inbox.post(connClosed{c, reset})
 		return
 	}
-	r := conn.Reader()
-	if n := r.Len(); n > 0 {
-		if b, err := r.Next(n); err == nil {
-			g.unread.Add(int64(n))
-			g.inbox.post(bytesIn{leg: g, data: append(make([]byte, 0, n), b...), read: time.Now()})
+	reader := socket.Reader()
+	if n := reader.Len(); n > 0 {
+		if data, err := reader.Next(n); err == nil {
+			c.queuedBytes.Add(int64(n))
+			c.inbox.post(bytesIn{conn: c, data: append(make([]byte, 0, n), data...), readAt: time.Now()})
 		}
 	}
-	g.inbox.post(detached{g})
+	c.inbox.post(detached{c})
 }
 
 // unregister has the library's poller look at a connection no more. Guards against a connection that was
@@ -154,53 +154,53 @@
 // file lives on in the one that own makes, and what happens on it would be told to the next connection that
 // gets its operator. The library has no call for it, so the operator is read from its field; a second time
 // it does nothing.
-func unregister(conn netpoll.Connection) {
-	op := reflect.Indirect(reflect.ValueOf(conn)).FieldByName("operator")
-	if !op.IsValid() || op.Type() != reflect.TypeFor[*netpoll.FDOperator]() {
+func unregister(socket netpoll.Connection) {
+	operator := reflect.Indirect(reflect.ValueOf(socket)).FieldByName("operator")
+	if !operator.IsValid() || operator.Type() != reflect.TypeFor[*netpoll.FDOperator]() {
 		log.Printf("the library has changed: a detached leg may still be looked at")
 		return
 	}
-	if err := (*netpoll.FDOperator)(op.UnsafePointer()).Control(netpoll.PollDetach); err != nil {
+	if err := (*netpoll.FDOperator)(operator.UnsafePointer()).Control(netpoll.PollDetach); err != nil {
 		log.Printf("a leg can't be detached: %v", err)
 	}
 }
 
 // own makes an ordinary connection of the library's, which then closes its own descriptor only.
-func own(conn netpoll.Connection) (net.Conn, error) {
-	c, ok := conn.(netpoll.Conn)
+func duplicateConn(socket netpoll.Connection) (net.Conn, error) {
+	descriptor, ok := socket.(netpoll.Conn)
 	if !ok {
 		return nil, syscall.EBADF
 	}
-	fd, _, no := syscall.Syscall(syscall.SYS_FCNTL, uintptr(c.Fd()), syscall.F_DUPFD_CLOEXEC, 0)
-	if no != 0 {
-		return nil, no
+	fd, _, errno := syscall.Syscall(syscall.SYS_FCNTL, uintptr(descriptor.Fd()), syscall.F_DUPFD_CLOEXEC, 0)
+	if errno != 0 {
+		return nil, errno
 	}
-	f := os.NewFile(fd, "leg")
-	defer f.Close() // the connection gets one more, of its own
-	return net.FileConn(f)
+	file := os.NewFile(fd, "leg")
+	defer file.Close() // the connection gets one more, of its own
+	return net.FileConn(file)
 }
 
 // over tells, once, that a leg's descriptor is free again.
-func (g *leg) over() { g.ending.Do(g.closed) }
+func (c *connection) releaseDescriptor() { c.closeOnce.Do(c.onClosed) }
 
 // pull reads the next bytes of a raw leg, on a goroutine of its own, unless that is under way or the leg is
 // being read for a stream. What comes is posted, and nothing more is read until it was looked at.
-func (g *leg) pull() {
-	if !g.isRaw || g.pulling || g.streaming || g.parted {
+func (c *connection) readNext() {
+	if !c.isDetached || c.readPending || c.streaming || c.closing {
 		return
 	}
-	g.pulling = true
-	_ = g.raw.SetReadDeadline(time.Time{})
+	c.readPending = true
+	_ = c.stdConn.SetReadDeadline(time.Time{})
 	go func() {
-		b := make([]byte, pullSize)
-		n, err := g.raw.Read(b)
+		buffer := make([]byte, readSize)
+		n, err := c.stdConn.Read(buffer)
 		if n > 0 || errors.Is(err, os.ErrDeadlineExceeded) { // hush sets one
-			g.unread.Add(int64(n))
-			g.inbox.post(bytesIn{leg: g, data: b[:n], read: time.Now(), pulled: true})
+			c.queuedBytes.Add(int64(n))
+			c.inbox.post(bytesIn{conn: c, data: buffer[:n], readAt: time.Now(), fromDetached: true})
 			return
 		}
 		if err != nil {
-			g.inbox.post(broken{g, err != io.EOF || rawReset(g.raw)})
+			c.inbox.post(connClosed{c, err != io.EOF || stdConnReset(c.stdConn)})
 		}
 	}()
 }
@@ -215,38 +215,38 @@
 }
 
 // rawReset is wasReset of a raw connection.
-func rawReset(conn net.Conn) bool {
+func stdConnReset(conn net.Conn) bool {
 	reset := true
-	if raw, err := conn.(syscall.Conn).SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { reset = wasReset(int(fd)) })
+	if rawConn, err := conn.(syscall.Conn).SyscallConn(); err == nil {
+		_ = rawConn.Control(func(fd uintptr) { reset = wasReset(int(fd)) })
 	}
 	return reset
 }
 
 // rawLeft tells whether the other side of a raw connection has ended it, whatever of it is still unread.
-func rawLeft(conn net.Conn) (left bool) {
-	raw, err := conn.(syscall.Conn).SyscallConn()
+func stdConnHungUp(conn net.Conn) (hungUp bool) {
+	rawConn, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
 	}
-	_ = raw.Control(func(fd uintptr) { left = hungUp(int(fd)) })
-	return left
+	_ = rawConn.Control(func(fd uintptr) { hungUp = peerHungUp(int(fd)) })
+	return hungUp
 }
 
 // left tells whether a caller has ended its connection, whatever of it is still unread. The poller tells the
 // same, but later: it is asked just before an attempt is sent.
-func (g *leg) left() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.raw != nil {
-		return rawLeft(g.raw)
+func (c *connection) hungUp() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.stdConn != nil {
+		return stdConnHungUp(c.stdConn)
 	}
-	c, ok := g.conn.(netpoll.Conn)
-	return !ok || g.gone || hungUp(c.Fd())
+	descriptor, ok := c.socket.(netpoll.Conn)
+	return !ok || c.buffersFreed || peerHungUp(descriptor.Fd())
 }
 
 // hungUp tells whether the other side of a connection has ended it.
-func hungUp(fd int) bool {
+func peerHungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
@@ -254,11 +254,11 @@
 
 // rawQuiet tells whether a raw connection is open and nothing has come on it. It stands apart so that
 // the byte that it looks at is on the heap for raw legs only.
-func rawQuiet(conn net.Conn) bool {
+func stdConnIdle(conn net.Conn) bool {
 	var b [1]byte
 	err := error(syscall.EBADF)
-	if raw, no := conn.(syscall.Conn).SyscallConn(); no == nil {
-		_ = raw.Control(func(fd uintptr) {
+	if rawConn, controlErr := conn.(syscall.Conn).SyscallConn(); controlErr == nil {
+		_ = rawConn.Control(func(fd uintptr) {
 			_, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
 	}
@@ -266,21 +266,21 @@
 }
 
 // hush ends a pull that waits: it brings what it has, perhaps nothing.
-func (g *leg) hush() {
-	if g.pulling {
-		_ = g.raw.SetReadDeadline(past())
+func (c *connection) interruptRead() {
+	if c.readPending {
+		_ = c.stdConn.SetReadDeadline(pastDeadline())
 	}
 }
 
 // drain reads and forgets what still comes on a raw leg that was parted, until it is closed.
-func (g *leg) drain() {
-	_ = g.raw.SetReadDeadline(time.Time{})
-	b := make([]byte, pullSize)
+func (c *connection) discardInput() {
+	_ = c.stdConn.SetReadDeadline(time.Time{})
+	buffer := make([]byte, readSize)
 	for {
-		if _, err := g.raw.Read(b); errors.Is(err, os.ErrDeadlineExceeded) {
-			_ = g.raw.SetReadDeadline(time.Time{}) // it was set for a flow that was stopped
+		if _, err := c.stdConn.Read(buffer); errors.Is(err, os.ErrDeadlineExceeded) {
+			_ = c.stdConn.SetReadDeadline(time.Time{}) // it was set for a flow that was stopped
 		} else if err != nil {
-			g.inbox.post(broken{g, true})
+			c.inbox.post(connClosed{c, true})
 			return
 		}
 	}
--- a/internal/transport/raw_test.go
+++ b/internal/transport/detached_test.go
@@ -19,8 +19,8 @@
 	if err == nil {
 		err = raw.Control(func(fd uintptr) { err = syscall.Fstat(int(fd), &st) })
 	}
-	all, no := os.ReadDir("/proc/self/fdinfo")
-	if err = errors.Join(err, no); err != nil {
+	all, readErr := os.ReadDir("/proc/self/fdinfo")
+	if err = errors.Join(err, readErr); err != nil {
 		t.Fatal(err)
 	}
 	ino := fmt.Sprintf(" ino:%x ", st.Ino)
@@ -36,17 +36,17 @@
 // TestDetachedForGood guards against a leg that the library's poller still looks at once it is raw, by a
 // pointer to what then stands for another connection: that one is closed when the raw one ends. It comes of
 // detaching a leg in the moment in which its handler returns.
-func TestDetachedForGood(t *testing.T) {
+func TestDetachUnregistersFromPoller(t *testing.T) {
 	for round := range 400 {
-		g, other := hop(t)
+		conn, other := openServerConn(t)
 		for range round % 40 {
 			if _, err := other.Write([]byte("some")); err != nil {
 				t.Fatal(err)
 			}
 		}
-		g.pause(false)
-		<-g.rawSet
-		if n := registrations(t, g.raw); n != 1 {
+		conn.requestDetach(false)
+		<-conn.stdConnReady
+		if n := registrations(t, conn.stdConn); n != 1 {
 			t.Fatalf("round %d: looked at by %d pollers", round, n)
 		}
 		other.Close()
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -9,81 +9,81 @@
 )
 
 // step hands the reducer an event and carries out what it asks for.
-func (p *proxy) step(ev reducer.Event) {
-	t := time.Now()
-	now := p.at(t)
-	p.observed.lookAtClock(t, now)
-	for _, e := range p.state.Step(now, ev) {
-		p.carryOut(e)
+func (p *proxy) step(event reducer.Event) {
+	wallTime := time.Now()
+	now := p.at(wallTime)
+	p.observer.checkWallClock(wallTime, now)
+	for _, effect := range p.state.Step(now, event) {
+		p.execute(effect)
 	}
 }
 
-func (p *proxy) carryOut(e reducer.Effect) {
-	switch e.Do {
+func (p *proxy) execute(effect reducer.Effect) {
+	switch effect.Do {
 	case reducer.AnswerCaller:
-		if g := p.callers[e.Leg]; g != nil {
-			g.busy = true
-			g.asking.Store(true)
-			if f, ok := e.Payload.(*flow); ok && e.Verdict == reducer.Served {
-				f.old = g.old
-				g.write(p.pass(f, g, f.m.BackHead(fieldLoad, f.length, f.old, e.Last)))
+		if conn := p.clientConns[effect.Leg]; conn != nil {
+			conn.busy = true
+			conn.requestPending.Store(true)
+			if stream, ok := effect.Payload.(*bodyStream); ok && effect.Verdict == reducer.Served {
+				stream.http10 = conn.http10
+				conn.write(p.streamJob(stream, conn, stream.message.BackHead(fieldLoad, stream.length, stream.http10, effect.Last)))
 				return
 			}
-			p.observed.unserved(g, e, p.now())
-			g.write(job{bufs: answer(e), by: e.At, report: true})
+			p.observer.recordUnserved(conn, effect, p.now())
+			conn.write(writeJob{buffers: encodeAnswer(effect), deadline: effect.At, report: true})
 		}
 	case reducer.EaseCaller:
-		if g := p.callers[e.Leg]; g != nil {
-			p.inbox.post(easing{g})
+		if conn := p.clientConns[effect.Leg]; conn != nil {
+			p.inbox.post(quiesceCheck{conn})
 		}
 	case reducer.PartCaller:
-		if g := p.callers[e.Leg]; g != nil {
-			g.part()
+		if conn := p.clientConns[effect.Leg]; conn != nil {
+			conn.closeWrite()
 		}
 	case reducer.CloseCaller:
-		if g := p.callers[e.Leg]; g != nil {
-			g.close()
+		if conn := p.clientConns[effect.Leg]; conn != nil {
+			conn.close()
 		}
 	case reducer.Dial:
-		g := &leg{id: e.Leg, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
-		p.hops[e.Leg] = g
-		go g.dial(p.servers.Address(e.Server), e.At)
+		conn := &connection{id: effect.Leg, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
+		p.serverConns[effect.Leg] = conn
+		go conn.dial(p.servers.Address(effect.Server), effect.At)
 	case reducer.Forward:
-		if g := p.hops[e.Leg]; g != nil {
-			p.forward(g, e)
+		if conn := p.serverConns[effect.Leg]; conn != nil {
+			p.forward(conn, effect)
 		}
 	case reducer.CloseHop:
-		if g := p.hops[e.Leg]; g != nil {
-			delete(p.hops, e.Leg)
-			if g.flow != nil {
-				g.flow.stop(g)
+		if conn := p.serverConns[effect.Leg]; conn != nil {
+			delete(p.serverConns, effect.Leg)
+			if conn.upload != nil {
+				conn.upload.stop(conn)
 			}
-			g.close()
+			conn.close()
 		}
 	case reducer.StreamHop:
-		if g := p.hops[e.Leg]; g != nil && g.busy {
-			g.parser.Enlarge()
-			if g.pulling {
-				g.hush()
+		if conn := p.serverConns[effect.Leg]; conn != nil && conn.busy {
+			conn.parser.Enlarge()
+			if conn.readPending {
+				conn.interruptRead()
 			} else {
-				p.inbox.post(bytesIn{leg: g, read: time.Now()}) // looked at once this effect is done
+				p.inbox.post(bytesIn{conn: conn, readAt: time.Now()}) // looked at once this effect is done
 			}
 		}
 	case reducer.Arm:
-		p.timer.Reset(p.until(e.At))
+		p.timer.Reset(p.until(effect.At))
 	case reducer.Watch:
-		p.watch(e)
+		p.watch(effect)
 	case reducer.Publish:
-		figures := e.Payload.(*reducer.Figures)
-		figures.Sockets = p.observed.figures
-		p.published(figures)
+		figures := effect.Payload.(*reducer.Figures)
+		figures.Sockets = p.observer.figures
+		p.publish(figures)
 	case reducer.Stop:
-		stopped := e.Payload.(reducer.Stopped)
+		stopped := effect.Payload.(reducer.Stopped)
 		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.Own)
 	case reducer.Log:
-		p.logServer(e)
+		p.logEffect(effect)
 	case reducer.TellCallers:
-		go p.listener.settle(func() { p.inbox.post(allTold{}) })
+		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueEmpty{}) })
 	case reducer.Finish:
 		p.done = true
 	}
@@ -91,40 +91,40 @@
 
 // forward has a request written to a server, unless that can't be done well any more: then the reducer hears
 // of it, in the order of events.
-func (p *proxy) forward(g *leg, e reducer.Effect) {
-	if !g.fit() {
-		p.inbox.post(unfit{g})
+func (p *proxy) forward(conn *connection, effect reducer.Effect) {
+	if !conn.usable() {
+		p.inbox.post(connUnusable{conn})
 		return
 	}
-	if client := p.callers[e.Client]; client != nil && client.left() {
-		p.inbox.post(left{client})
-		p.inbox.post(unsent{g})
+	if client := p.clientConns[effect.Client]; client != nil && client.hungUp() {
+		p.inbox.post(clientHungUp{client})
+		p.inbox.post(requestUnsent{conn})
 		return
 	}
-	g.busy, g.begun, g.early = true, false, 0
-	ms := fmt.Sprint(max(1, (e.At - p.now()).Milliseconds()))
-	if f, ok := e.Payload.(*flow); ok {
-		g.flow = f
-		j := p.pass(f, g, f.m.ForwardHead(fieldTimeout, ms, f.length))
-		j.late = p.late(e, written{leg: g, flow: f})
-		g.write(j)
+	conn.busy, conn.responseStarted, conn.interimResponses = true, false, 0
+	timeout := fmt.Sprint(max(1, (effect.At - p.now()).Milliseconds()))
+	if stream, ok := effect.Payload.(*bodyStream); ok {
+		conn.upload = stream
+		job := p.streamJob(stream, conn, stream.message.ForwardHead(fieldTimeout, timeout, stream.length))
+		job.tooLate = p.tooLateCheck(effect, written{conn: conn, stream: stream})
+		conn.write(job)
 		return
 	}
-	bufs := e.Payload.(*http1.Message).Forward(fieldTimeout, ms)
-	g.write(job{bufs: bufs, by: e.At, report: true, late: p.late(e, written{leg: g})})
+	buffers := effect.Payload.(*http1.Message).Forward(fieldTimeout, timeout)
+	conn.write(writeJob{buffers: buffers, deadline: effect.At, report: true, tooLate: p.tooLateCheck(effect, written{conn: conn})})
 }
 
 // watch has discovery asked.
-func (p *proxy) watch(e reducer.Effect) {
-	if p.watcher == nil || p.watcher.address != e.Text || e.Anew {
+func (p *proxy) watch(effect reducer.Effect) {
+	if p.watcher == nil || p.watcher.address != effect.Text || effect.Anew {
 		if p.watcher != nil {
 			p.watcher.stop()
 		}
-		if p.watcher != nil && p.watcher.address != e.Text {
+		if p.watcher != nil && p.watcher.address != effect.Text {
 			p.servers.Forget()
 		}
-		p.watcher = newWatcher(e.Text, p.inbox, p.clock, p.decoder)
+		p.watcher = newWatcher(effect.Text, p.inbox, p.clock, p.decoder)
 		go p.watcher.run()
 	}
-	p.watcher.ask(call{p.servers.Query(p.now(), e.At), e.GiveUp + giveUpSlack})
+	p.watcher.request(call{p.servers.Query(p.now(), effect.At), effect.GiveUp + callTimeoutSlack})
 }
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -12,197 +12,197 @@
 )
 
 // take turns an item into the reducer's events.
-func (p *proxy) take(item any) {
+func (p *proxy) handleItem(item any) {
 	switch item := item.(type) {
 	case accepted:
-		p.callers[item.leg.id] = item.leg
-		p.step(reducer.CallerOpened{Leg: item.leg.id})
+		p.clientConns[item.conn.id] = item.conn
+		p.step(reducer.CallerOpened{Leg: item.conn.id})
 	case bytesIn:
-		g := item.leg
-		g.unread.Add(-int64(len(item.data)))
-		if item.pulled {
-			g.pulling = false
+		conn := item.conn
+		conn.queuedBytes.Add(-int64(len(item.data)))
+		if item.fromDetached {
+			conn.readPending = false
 		}
-		if g.parted {
+		if conn.closing {
 			return
 		}
-		g.parser.Feed(item.data)
-		g.read, g.late = item.read, max(g.late, item.late)
-		p.read(g, item.cut)
+		conn.parser.Feed(item.data)
+		conn.lastRead, conn.requestDelay = item.readAt, max(conn.requestDelay, item.delay)
+		p.readConn(conn, item.truncated)
 	case detached:
-		g := item.leg
-		g.isRaw = true
+		conn := item.conn
+		conn.isDetached = true
 		switch {
-		case g.shut:
-			g.close()
-		case g.parted:
-			go g.drain()
+		case conn.closedLocally:
+			conn.close()
+		case conn.closing:
+			go conn.discardInput()
 		default:
-			p.read(g, false)
+			p.readConn(conn, false)
 		}
-	case whole:
-		item.flow.ended = true
-		p.step(reducer.CallerWhole{Leg: item.flow.from.id, Read: p.at(item.read)})
-	case spoilt:
-		answer := unreadable(item.leg.id, item.err)
-		p.step(reducer.CallerSpoilt{Leg: item.leg.id, Payload: answer.Payload, Slow: errors.Is(item.err,
+	case bodyComplete:
+		item.stream.complete = true
+		p.step(reducer.CallerWhole{Leg: item.stream.source.id, Read: p.at(item.readAt)})
+	case bodyFailed:
+		answer := parseFailure(item.conn.id, item.err)
+		p.step(reducer.CallerSpoilt{Leg: item.conn.id, Payload: answer.Payload, Slow: errors.Is(item.err,
 			os.ErrDeadlineExceeded)})
-	case unfit:
-		p.step(reducer.HopUnfit{Leg: item.leg.id})
-	case unsent:
-		item.leg.busy, item.leg.flow = false, nil
-		p.step(reducer.HopUnsent{Leg: item.leg.id})
-	case left:
-		p.step(reducer.CallerClosed{Leg: item.leg.id})
-	case broken:
-		p.broke(item.leg, item.reset)
+	case connUnusable:
+		p.step(reducer.HopUnfit{Leg: item.conn.id})
+	case requestUnsent:
+		item.conn.busy, item.conn.upload = false, nil
+		p.step(reducer.HopUnsent{Leg: item.conn.id})
+	case clientHungUp:
+		p.step(reducer.CallerClosed{Leg: item.conn.id})
+	case connClosed:
+		p.handleConnClosed(item.conn, item.reset)
 	case written:
-		g := item.leg
-		if item.flow != nil {
-			p.passedOn(item)
+		conn := item.conn
+		if item.stream != nil {
+			p.finishStream(item)
 			return
 		}
-		if !g.caller {
-			p.step(reducer.HopWritten{Leg: g.id, OK: item.err == nil})
+		if !conn.isClient {
+			p.step(reducer.HopWritten{Leg: conn.id, OK: item.err == nil})
 			return
 		}
-		g.busy = false
-		g.asking.Store(false)
-		p.observed.unanswered(g, item.err, p.now())
-		p.step(reducer.CallerWritten{Leg: g.id, OK: item.err == nil})
-		p.read(g, false)
+		conn.busy = false
+		conn.requestPending.Store(false)
+		p.observer.recordUnwritten(conn, item.err, p.now())
+		p.step(reducer.CallerWritten{Leg: conn.id, OK: item.err == nil})
+		p.readConn(conn, false)
 	case dialed:
-		g := item.leg
-		if g.parted { // closed while it was being opened
-			if item.conn != nil {
-				_ = item.conn.Close()
+		conn := item.conn
+		if conn.closing { // closed while it was being opened
+			if item.socket != nil {
+				_ = item.socket.Close()
 			}
 			return
 		}
-		ok := item.conn != nil && g.open(item.conn)
+		ok := item.socket != nil && conn.open(item.socket)
 		if !ok {
-			delete(p.hops, g.id)
+			delete(p.serverConns, conn.id)
 		}
-		p.step(reducer.HopDialed{Leg: g.id, OK: ok, Local: item.local})
-	case reached:
-		if item.by == p.watcher {
+		p.step(reducer.HopDialed{Leg: conn.id, OK: ok, Local: item.localFault})
+	case discoveryConnected:
+		if item.watcher == p.watcher {
 			p.step(reducer.ListReached{})
 		}
-	case document:
+	case listDocument:
 		if item.from == p.watcher {
-			p.told(item)
+			p.applyList(item)
 		} else if p.watcher != nil && item.from.address == p.watcher.address {
-			p.toldLate(item)
+			p.applyLateList(item)
 		}
 	case reloaded:
-		n := item.load.Node
-		if item.load.Err != nil {
-			log.Printf("reload: %v; the configuration stays as it was", item.load.Err)
+		node := item.reload.Node
+		if item.reload.Err != nil {
+			log.Printf("reload: %v; the configuration stays as it was", item.reload.Err)
 			p.step(reducer.ReloadFailed{})
 			return
 		}
-		log.Printf("a new configuration: discovery at %s", n.Discovery)
-		known := p.retune(n.Settings)
-		p.limits = n.Limits
-		p.confined()
-		callers, hops := budget(n.Limits)
-		p.listener.most.Store(int64(callers))
-		p.step(reducer.Reloaded{Settings: &p.set.Settings, Discovery: n.Discovery,
-			MaxCallers: calm(callers), MaxHops: hops})
+		log.Printf("a new configuration: discovery at %s", node.Discovery)
+		known := p.applySettings(node.Settings)
+		p.limits = node.Limits
+		p.applyLimits()
+		maxClients, maxServers := connectionLimits(node.Limits)
+		p.listener.maxConns.Store(int64(maxClients))
+		p.step(reducer.Reloaded{Settings: &p.settings.Settings, Discovery: node.Discovery,
+			MaxCallers: softClientLimit(maxClients), MaxHops: maxServers})
 		if known != nil {
-			p.know(known)
+			p.applyKnownList(known)
 		}
-	case settled:
+	case factsUpdated:
 		p.step(reducer.Settled{Facts: item.facts, Own: item.own})
-	case easing:
-		if !item.leg.parted && !item.leg.busy && item.leg.quiet() {
-			p.step(reducer.CallerQuiet{Leg: item.leg.id})
+	case quiesceCheck:
+		if !item.conn.closing && !item.conn.busy && item.conn.idle() {
+			p.step(reducer.CallerQuiet{Leg: item.conn.id})
 		}
-	case allTold:
+	case acceptQueueEmpty:
 		p.step(reducer.CallersTold{})
-	case alone:
-		p.confined()
+	case overlapEnded:
+		p.applyLimits()
 	case stopping:
-		p.listener.closed.Store(p.passed) // where nobody else takes them, callers still come for a while
-		p.confined()
+		p.listener.closed.Store(p.socketShared) // where nobody else takes them, callers still come for a while
+		p.applyLimits()
 		p.step(reducer.Stopping{})
 	}
 }
 
 // read looks at what has come on a leg, and goes on reading where that has to be asked for.
-func (p *proxy) read(g *leg, cut bool) {
-	if g.caller {
-		p.readCaller(g, cut)
+func (p *proxy) readConn(conn *connection, truncated bool) {
+	if conn.isClient {
+		p.readClient(conn, truncated)
 	} else {
-		p.readHop(g, cut)
+		p.readServer(conn, truncated)
 	}
-	if !g.deaf.Load() {
-		g.pull()
+	if !conn.discarding.Load() {
+		conn.readNext()
 	}
 }
 
-func (p *proxy) broke(g *leg, reset bool) {
-	owes := g.busy && !g.parted
-	if g.isRaw {
-		g.close()
+func (p *proxy) handleConnClosed(conn *connection, reset bool) {
+	responsePending := conn.busy && !conn.closing
+	if conn.isDetached {
+		conn.close()
 	}
-	if g.flow != nil {
-		g.flow.stop(g)
+	if conn.upload != nil {
+		conn.upload.stop(conn)
 	}
-	if g.caller {
-		delete(p.callers, g.id)
-		p.step(reducer.CallerClosed{Leg: g.id})
+	if conn.isClient {
+		delete(p.clientConns, conn.id)
+		p.step(reducer.CallerClosed{Leg: conn.id})
 		return
 	}
 	// Guards against losing a large answer that had come whole with its connection's end, before the leg could
 	// be paused.
-	var m *http1.Message
+	var message *http1.Message
 	if !reset {
-		m = g.parser.End()
+		message = conn.parser.End()
 	}
-	if m == nil && g.parser.Large() {
-		if large, body, _ := g.parser.Stream(); body.Done || body.TillClose() && !reset {
-			m = large
+	if message == nil && conn.parser.Large() {
+		if large, body, _ := conn.parser.Stream(); body.Done || body.TillClose() && !reset {
+			message = large
 		}
 	}
-	if m != nil && owes {
-		p.answered(g, answered(&p.set, g.id, m, false))
+	if message != nil && responsePending {
+		p.finishResponse(conn, responseEvent(&p.settings, conn.id, message, false))
 	}
-	delete(p.hops, g.id)
-	p.step(reducer.HopClosed{Leg: g.id})
+	delete(p.serverConns, conn.id)
+	p.step(reducer.HopClosed{Leg: conn.id})
 }
 
 // toldLate takes in what came on a watch in the moment in which it was given up: it counts as told.
-func (p *proxy) toldLate(d document) {
-	if d.err != nil {
+func (p *proxy) applyLateList(document listDocument) {
+	if document.err != nil {
 		return
 	}
-	if list, ok := p.servers.ApplyLate(d.list, p.now()); ok {
-		p.logChanges()
+	if list, ok := p.servers.ApplyLate(document.list, p.now()); ok {
+		p.logListChanges()
 		p.step(reducer.ListTold{List: list, Late: true})
-		p.inventory()
+		p.publishInventory()
 	}
 }
 
-func (p *proxy) told(d document) {
-	began := time.Now()
-	list, err := lg.List{Kind: lg.ListFailed}, d.err
-	if d.unusable {
+func (p *proxy) applyList(document listDocument) {
+	start := time.Now()
+	list, err := lg.List{Kind: lg.ListFailed}, document.err
+	if document.malformed {
 		p.servers.Forget()
 	}
 	if err == nil {
-		var told lg.List
-		if told, err = p.servers.Apply(d.list, p.now()); err == nil {
-			list = told
+		var update lg.List
+		if update, err = p.servers.Apply(document.list, p.now()); err == nil {
+			list = update
 		}
 	}
-	p.observed.called(d, err, p.now())
+	p.observer.recordCall(document, err, p.now())
 	if err == nil {
-		p.logChanges()
+		p.logListChanges()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches(), Complete: d.list.Whole(),
-		Work: d.decoding + time.Since(began)})
+	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches(), Complete: document.list.Whole(),
+		Work: document.decodeTime + time.Since(start)})
 	if err == nil {
-		p.inventory()
+		p.publishInventory()
 	}
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -20,34 +20,34 @@
 
 // Times of an upgrade, where the listening socket is shared.
 const (
-	confirmWithin = 3 * time.Second        // a new process waits so long for discovery before it serves
-	overlapFor    = 10 * time.Second       // the old process has ended by then, counted from the new one's start
-	saveEvery     = 250 * time.Millisecond // what the next process should know is written at most so often
+	confirmTimeout   = 3 * time.Second        // a new process waits so long for discovery before it serves
+	overlapDuration  = 10 * time.Second       // the old process has ended by then, counted from the new one's start
+	handoverInterval = 250 * time.Millisecond // what the next process should know is written at most so often
 )
 
 // Parts of the memory limit that the Go runtime may use before it collects harder; the rest is for the
 // kernel's part of the sockets and for the program itself, which two processes have twice.
 const (
-	memoryPart   = 0.75
-	memoryShared = 0.3
+	memoryFraction       = 0.75
+	sharedMemoryFraction = 0.3
 )
 
 // confine keeps the runtime within the limits, of which another process may need its part.
-func confine(l settings.Limits, shared bool) {
-	part := memoryPart
+func setRuntimeLimits(limits settings.Limits, shared bool) {
+	fraction := memoryFraction
 	if shared {
-		part = memoryShared
+		fraction = sharedMemoryFraction
 	}
-	runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
-	debug.SetMemoryLimit(int64(part * float64(l.MemoryMB) * (1 << 20)))
+	runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
+	debug.SetMemoryLimit(int64(fraction * float64(limits.MemoryMB) * (1 << 20)))
 }
 
 // confined keeps to the limits as they are now. The old process of an upgrade gives back what it no
 // longer needs.
-func (p *proxy) confined() {
+func (p *proxy) applyLimits() {
 	stopping := p.listener.closed.Load()
-	confine(p.limits, p.passed && (stopping || p.running() < overlapFor))
-	if stopping && p.passed {
+	setRuntimeLimits(p.limits, p.socketShared && (stopping || p.uptime() < overlapDuration))
+	if stopping && p.socketShared {
 		go debug.FreeOSMemory()
 	}
 }
@@ -62,7 +62,7 @@
 		return ln, nil
 	}
 	var ln netpoll.Listener
-	if err := transient.Retry(listenFor, transient.Opening, func() (err error) {
+	if err := transient.Retry(listenRetryTimeout, transient.Opening, func() (err error) {
 		ln, err = netpoll.CreateListener("tcp", node.Listen)
 		return err
 	}); err != nil {
@@ -73,16 +73,16 @@
 
 // listenFor is how long an address that can't be listened on for the moment is tried again: the process
 // before this one may just be ending there.
-const listenFor = 3 * time.Second
+const listenRetryTimeout = 3 * time.Second
 
 // takes tells whether connections may be taken: at once where nobody else would, else once they can be
 // served, or when that takes too long.
-func (p *proxy) takes() bool {
-	return !p.passed || p.state.Ready() || p.running() >= confirmWithin
+func (p *proxy) readyToAccept() bool {
+	return !p.socketShared || p.state.Ready() || p.uptime() >= confirmTimeout
 }
 
 // know takes in a server list that may be old.
-func (p *proxy) know(raw []byte) bool {
+func (p *proxy) applyKnownList(raw []byte) bool {
 	var list lg.List
 	doc, err := p.decoder.Decode(raw)
 	if err == nil {
@@ -93,7 +93,7 @@
 		log.Printf("known: %v", err)
 		return false
 	}
-	if !p.set.AskForList {
+	if !p.settings.AskForList {
 		p.servers.Forget() // guards against a watch that waits for news, while what is known counts as outdated
 	}
 	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
@@ -103,12 +103,12 @@
 // takeOver takes in what the process before this one handed over. Whatever is wrong with it, this one
 // starts from its configuration alone.
 func (p *proxy) takeOver(node settings.Node) bool {
-	if !p.passed || node.Temp == "" {
+	if !p.socketShared || node.Temp == "" {
 		return false
 	}
-	p.saver = newSaver(node.Temp)
+	p.handoverWriter = newHandoverWriter(node.Temp)
 	now := upgrade.Now()
-	h, err := upgrade.Load(node.Temp, now)
+	handover, err := upgrade.Load(node.Temp, now)
 	if err == upgrade.ErrNone {
 		return false
 	}
@@ -116,71 +116,71 @@
 		log.Printf("cold start: %v", err)
 		return false
 	}
-	if h.Epoch > 0 && h.Boot == now.Boot {
-		p.servers.SetEpoch(h.Epoch + now.Monotonic - p.now())
+	if handover.Epoch > 0 && handover.Boot == now.Boot {
+		p.servers.SetEpoch(handover.Epoch + now.Monotonic - p.now())
 	}
-	if !p.know(h.Routes) {
+	if !p.applyKnownList(handover.Routes) {
 		return false
 	}
-	p.step(reducer.Remembered{Ago: max(0, h.Age), Learned: h.Learned})
-	log.Printf("took over from a process that wrote %v ago", h.Age.Round(time.Millisecond))
+	p.step(reducer.Remembered{Ago: max(0, handover.Age), Learned: handover.Learned})
+	log.Printf("took over from a process that wrote %v ago", handover.Age.Round(time.Millisecond))
 	return true
 }
 
 // save has what the next process should know written, now and then.
-func (p *proxy) save() {
-	if p.saver == nil || time.Since(p.saver.last) < saveEvery || !p.state.Ready() {
+func (p *proxy) saveHandover() {
+	if p.handoverWriter == nil || time.Since(p.handoverWriter.lastSave) < handoverInterval || !p.state.Ready() {
 		return
 	}
-	p.saver.last = time.Now()
-	h := upgrade.Handover{Routes: p.servers.Document(), Learned: p.state.Learned()}
+	p.handoverWriter.lastSave = time.Now()
+	handover := upgrade.Handover{Routes: p.servers.Document(), Learned: p.state.Learned()}
 	now := upgrade.Now()
-	h.Stamp(now)
+	handover.Stamp(now)
 	if now.Monotonic > 0 {
-		h.Epoch = p.servers.Epoch() - (now.Monotonic - p.now())
+		handover.Epoch = p.servers.Epoch() - (now.Monotonic - p.now())
 	}
 	select {
-	case p.saver.next <- h:
+	case p.handoverWriter.pending <- handover:
 	default: // the disk is slow: a later one will do
 	}
 }
 
 // saver writes handovers off the reducer's goroutine.
-type saver struct {
-	next chan upgrade.Handover
-	last time.Time
+type handoverWriter struct {
+	pending  chan upgrade.Handover
+	lastSave time.Time
 }
 
-func newSaver(dir string) *saver {
-	s := &saver{next: make(chan upgrade.Handover, 1)}
+func newHandoverWriter(dir string) *handoverWriter {
+	writer := &handoverWriter{pending: make(chan upgrade.Handover, 1)}
 	go func() {
 		failing := false
-		for h := range s.next {
-			err := upgrade.Save(dir, h)
+		for handover := range writer.pending {
+			err := upgrade.Save(dir, handover)
 			if failed := err != nil; failed != failing {
 				failing = failed
 				log.Printf("handing over: %v", err)
 			}
 		}
 	}()
-	return s
+	return writer
 }
 
 // staleFor is how long classes that a new configuration has dropped are still taken, by their old rules.
-const staleFor = 3 * time.Second
+const staleClassDuration = 3 * time.Second
 
 // retune takes new settings for what is read from now on, unless the decider can't. Zones and kinds are
 // numbered by the new names; where these differ, the server list is to be told again: it is returned.
-func (p *proxy) retune(set settings.Settings) (known []byte) {
+func (p *proxy) applySettings(updated settings.Settings) (known []byte) {
 	if !p.state.Retunes() {
 		return nil
 	}
-	before := p.set
-	set.Settings = set.Settings.After(before.Settings)
-	p.set, p.stale = set, p.now()+staleFor
-	if !slices.Equal(before.ZoneNames, set.ZoneNames) || !slices.Equal(before.KindNames, set.KindNames) {
+	previous := p.settings
+	updated.Settings = updated.Settings.After(previous.Settings)
+	p.settings, p.staleClassesUntil = updated, p.now()+staleClassDuration
+	if !slices.Equal(previous.ZoneNames, updated.ZoneNames) || !slices.Equal(previous.KindNames, updated.KindNames) {
 		known = p.servers.Document()
-		p.servers = p.servers.Anew(set.ZoneNames, set.KindNames)
+		p.servers = p.servers.Anew(updated.ZoneNames, updated.KindNames)
 	}
 	return known
 }
--- a/internal/transport/stand_test.go
+++ b/internal/transport/harness_test.go
@@ -18,93 +18,93 @@
 
 // running is a proxy in this process, between callers, album servers and discovery that a test scripts byte
 // by byte. Each of them acts only when it has seen the step before.
-type running struct {
-	t      *testing.T
-	addr   string
-	disc   *party
-	stop   context.CancelFunc // as SIGTERM
-	loads  chan Reload          // as SIGHUP
-	ended  chan error
-	node   settings.Node
-	closed bool
+type testProxy struct {
+	t         *testing.T
+	addr      string
+	discovery *fakeServer
+	stop      context.CancelFunc // as SIGTERM
+	reloads   chan Reload        // as SIGHUP
+	exit      chan error
+	node      settings.Node
+	awaited   bool
 }
 
 // party is a listening socket whose connections a test takes one at a time.
-type party struct {
+type fakeServer struct {
 	t     *testing.T
 	addr  string
-	conns chan *peer
+	conns chan *scriptedConn
 }
 
 // peer is a side of a connection that a test scripts.
-type peer struct {
+type scriptedConn struct {
 	*net.TCPConn
-	t *testing.T
-	r *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
-func newPeer(t *testing.T, c net.Conn) *peer {
+func newScriptedConn(t *testing.T, c net.Conn) *scriptedConn {
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(far))
-	return &peer{TCPConn: c.(*net.TCPConn), t: t, r: bufio.NewReader(c)}
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	return &scriptedConn{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReader(c)}
 }
 
-func newParty(t *testing.T) *party {
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	p := &party{t: t, addr: ln.Addr().String(), conns: make(chan *peer, 64)}
+	server := &fakeServer{t: t, addr: ln.Addr().String(), conns: make(chan *scriptedConn, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			p.conns <- newPeer(t, c)
+			server.conns <- newScriptedConn(t, c)
 		}
 	}()
-	return p
+	return server
 }
 
 // next is the next connection that came.
-func (p *party) next() *peer {
-	p.t.Helper()
+func (f *fakeServer) nextConn() *scriptedConn {
+	f.t.Helper()
 	select {
-	case c := <-p.conns:
+	case c := <-f.conns:
 		return c
-	case <-time.After(far):
-		p.t.Fatal("no connection came")
+	case <-time.After(testTimeout):
+		f.t.Fatal("no connection came")
 		return nil
 	}
 }
 
 // send writes raw bytes.
-func (p *peer) send(raw string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p, raw); err != nil {
-		p.t.Fatal(err)
+func (c *scriptedConn) send(raw string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, raw); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
 // request reads one request with its body.
-func (p *peer) request() *http.Request {
-	p.t.Helper()
-	req, err := http.ReadRequest(p.r)
+func (c *scriptedConn) request() *http.Request {
+	c.t.Helper()
+	req, err := http.ReadRequest(c.reader)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, req.Body); err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return req
 }
 
 // whole reads one request and returns its id, empty where it does not come whole.
-func (p *peer) whole() string {
-	req, err := http.ReadRequest(p.r)
+func (c *scriptedConn) tryRequestID() string {
+	req, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return ""
 	}
@@ -115,68 +115,68 @@
 }
 
 // answer reads one answer; the error is that of its body.
-func (p *peer) answer() (status int, body string, _ error) {
-	p.t.Helper()
-	res, err := http.ReadResponse(p.r, nil)
+func (c *scriptedConn) answer() (status int, body string, _ error) {
+	c.t.Helper()
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	b, err := io.ReadAll(res.Body)
 	return res.StatusCode, string(b), err
 }
 
 // reset ends the connection with a reset.
-func (p *peer) reset() {
-	_ = p.SetLinger(0)
-	_ = p.Close()
+func (c *scriptedConn) reset() {
+	_ = c.SetLinger(0)
+	_ = c.Close()
 }
 
 // known is a whole list of album servers that are ready.
-func known(generation int, servers ...*party) string {
-	var all []string
-	for i, s := range servers {
-		all = append(all, line(fmt.Sprint("s-", i), s.addr, "ready"))
+func readyList(generation int, servers ...*fakeServer) string {
+	var entries []string
+	for i, server := range servers {
+		entries = append(entries, listEntry(fmt.Sprint("s-", i), server.addr, "ready"))
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(all, ","))
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
-func line(id, addr, state string) string {
+func listEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"harbor-st","machineType":"std-2","cell":0,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":0}`, id, addr, state)
 }
 
-func answerOf(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // serve starts a proxy that knows the given list from its start; what it asks discovery is left to the test.
-func serve(t *testing.T, list string, change ...func(*settings.Node)) *running {
+func startProxy(t *testing.T, list string, change ...func(*settings.Node)) *testProxy {
 	t.Helper()
-	r := &running{t: t, addr: freeAddr(t), disc: newParty(t), loads: make(chan Reload, 1),
-		ended: make(chan error, 1)}
+	proxy := &testProxy{t: t, addr: freeAddr(t), discovery: newFakeServer(t), reloads: make(chan Reload, 1),
+		exit: make(chan error, 1)}
 	raw, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.node, err = settings.ParseNode(raw, func(key string) string {
-		return map[string]string{"NODE_LISTEN": r.addr, "NODE_DISCOVERY": r.disc.addr}[key]
+	proxy.node, err = settings.ParseNode(raw, func(key string) string {
+		return map[string]string{"NODE_LISTEN": proxy.addr, "NODE_DISCOVERY": proxy.discovery.addr}[key]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.node.Known = []byte(list)
-	for _, c := range change {
-		c(&r.node)
+	proxy.node.Known = []byte(list)
+	for _, apply := range change {
+		apply(&proxy.node)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.ended <- Serve(ctx, r.node, r.loads, nil) }()
+	proxy.stop = stop
+	go func() { proxy.exit <- Serve(ctx, proxy.node, proxy.reloads, nil) }()
 	t.Cleanup(func() {
-		if stop(); !r.closed {
-			r.end()
+		if stop(); !proxy.awaited {
+			proxy.awaitExit()
 		}
 	})
-	return r
+	return proxy
 }
 
 // freeAddr is an address on which nobody listens, of a host of its own: no other process's connections are
@@ -193,26 +193,26 @@
 }
 
 // resting is a caller whose connection rests after an answer, and the server's side that gave it.
-func (r *running) resting(server *party) (caller, s *peer) {
-	r.t.Helper()
-	caller = r.caller()
-	caller.send(edit("resting"))
-	s = server.next()
-	s.request()
-	s.send(answerOf("one"))
-	caller.answer()
-	return caller, s
+func (p *testProxy) idleClient(server *fakeServer) (client, serverConn *scriptedConn) {
+	p.t.Helper()
+	client = p.connect()
+	client.send(editRequest("resting"))
+	serverConn = server.nextConn()
+	serverConn.request()
+	serverConn.send(okResponse("one"))
+	client.answer()
+	return client, serverConn
 }
 
 // figure asks at the operators' door until one of the lines is among the figures.
-func (r *running) figure(door string, wants ...string) {
-	r.t.Helper()
-	for end := time.Now().Add(far); ; {
-		if c, err := net.Dial("tcp", door); err == nil {
-			p := newPeer(r.t, c)
-			p.send("DUMP\n")
-			all, _ := io.ReadAll(p)
-			p.Close()
+func (p *testProxy) awaitMetric(adminAddr string, wants ...string) {
+	p.t.Helper()
+	for end := time.Now().Add(testTimeout); ; {
+		if socket, err := net.Dial("tcp", adminAddr); err == nil {
+			conn := newScriptedConn(p.t, socket)
+			conn.send("DUMP\n")
+			all, _ := io.ReadAll(conn)
+			conn.Close()
 			for _, want := range wants {
 				if strings.Contains(string(all), "\n"+want+"\n") {
 					return
@@ -220,41 +220,41 @@
 			}
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("never told: %s", wants)
+			p.t.Fatalf("never told: %s", wants)
 		}
 	}
 }
 
 // end waits for the program's end.
-func (r *running) end() {
-	r.t.Helper()
-	r.closed = true
+func (p *testProxy) awaitExit() {
+	p.t.Helper()
+	p.awaited = true
 	select {
-	case err := <-r.ended:
+	case err := <-p.exit:
 		if err != nil {
-			r.t.Error(err)
+			p.t.Error(err)
 		}
-	case <-time.After(far):
-		r.t.Error("the proxy did not end")
+	case <-time.After(testTimeout):
+		p.t.Error("the proxy did not end")
 	}
 }
 
 // caller opens a caller's connection once the proxy listens.
-func (r *running) caller() *peer {
-	r.t.Helper()
-	for end := time.Now().Add(far); ; {
-		c, err := net.Dial("tcp", r.addr)
+func (p *testProxy) connect() *scriptedConn {
+	p.t.Helper()
+	for end := time.Now().Add(testTimeout); ; {
+		socket, err := net.Dial("tcp", p.addr)
 		if err == nil {
-			return newPeer(r.t, c)
+			return newScriptedConn(p.t, socket)
 		}
 		if time.Now().After(end) {
-			r.t.Fatal(err)
+			p.t.Fatal(err)
 		}
 	}
 }
 
 // edit is a request that is unsafe to repeat.
-func edit(id string) string {
+func editRequest(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: album-edit\r\n" +
 		"Tenant: port-alder\r\nRequest-Timeout-Ms: 20000\r\nContent-Length: 3\r\n\r\nabc"
 }
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -32,7 +32,7 @@
 }
 
 // take empties the inbox; spare is used for what comes next.
-func (b *inbox) take(spare []any) []any {
+func (b *inbox) takeAll(spare []any) []any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	items := b.items
@@ -42,63 +42,63 @@
 
 // What the goroutines round the reducer post.
 type (
-	accepted struct{ leg *leg }
+	accepted struct{ conn *connection }
 	bytesIn  struct {
-		leg    *leg
-		data   []byte
-		cut    bool // more came and was dropped
-		read   time.Time
-		late   time.Duration // it may have come so long before it was read
-		pulled bool          // from a raw leg
+		conn         *connection
+		data         []byte
+		truncated    bool // more came and was dropped
+		readAt       time.Time
+		delay        time.Duration // it may have come so long before it was read
+		fromDetached bool          // from a raw leg
 	}
-	detached struct{ leg *leg }
-	whole    struct { // a caller's body has come to its end
-		flow *flow
-		read time.Time
+	detached     struct{ conn *connection }
+	bodyComplete struct { // a caller's body has come to its end
+		stream *bodyStream
+		readAt time.Time
 	}
-	spoilt struct { // a caller's body came wrongly or too slowly
-		leg *leg
-		err error
+	bodyFailed struct { // a caller's body came wrongly or too slowly
+		conn *connection
+		err  error
 	}
-	unfit  struct{ leg *leg }
-	unsent struct{ leg *leg } // nothing was written, and the leg is as good as before
-	left   struct{ leg *leg } // a caller has left, whatever of it is still unread
-	broken struct {
-		leg   *leg
+	connUnusable  struct{ conn *connection }
+	requestUnsent struct{ conn *connection } // nothing was written, and the leg is as good as before
+	clientHungUp  struct{ conn *connection } // a caller has left, whatever of it is still unread
+	connClosed    struct {
+		conn  *connection
 		reset bool // it did not end in good order: what came on it is no whole answer by that
 	}
 	written struct {
-		leg  *leg
-		err  error  // why it was not written whole; nil: it was
-		flow *flow  // that was passed on; nil: a whole message was written
-		rest []byte // what had come behind its body
+		conn     *connection
+		err      error       // why it was not written whole; nil: it was
+		stream   *bodyStream // that was passed on; nil: a whole message was written
+		leftover []byte      // what had come behind its body
 	}
 	dialed struct {
-		leg   *leg
-		conn  netpoll.Connection // nil when it failed
-		local bool               // by a fault of this machine
+		conn       *connection
+		socket     netpoll.Connection // nil when it failed
+		localFault bool               // by a fault of this machine
 	}
 	// reached says that a watcher's call has a connection.
-	reached struct{ by *watcher }
+	discoveryConnected struct{ watcher *watcher }
 
-	document struct {
-		from     *watcher
-		list     serverlist.Document
-		err      error
-		unusable bool          // it came whole and makes no sense
-		bytes    int           // of it
-		decoding time.Duration // how long it took to be read
-		call     uint64        // the number of the call that it answers
-		took     time.Duration // from the call's beginning to its end
+	listDocument struct {
+		from       *watcher
+		list       serverlist.Document
+		err        error
+		malformed  bool          // it came whole and makes no sense
+		size       int           // of it
+		decodeTime time.Duration // how long it took to be read
+		callNumber uint64        // the number of the call that it answers
+		duration   time.Duration // from the call's beginning to its end
 	}
-	reloaded struct{ load Reload }
-	stopping struct{}
-	alone    struct{} // the process before this one has ended
-	easing   struct{ leg *leg }
-	allTold  struct{}
-	settled  struct {
+	reloaded         struct{ reload Reload }
+	stopping         struct{}
+	overlapEnded     struct{} // the process before this one has ended
+	quiesceCheck     struct{ conn *connection }
+	acceptQueueEmpty struct{}
+	factsUpdated     struct {
 		facts fencing.Facts[lg.ServerID]
 		own   uint64
 	}
-	failed struct{ err error }
+	serveFailed struct{ err error }
 )
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -15,7 +15,7 @@
 
 // acceptPause is waited after an accept that failed. The poller waits with it, so it is short; without it,
 // it would try again at once for as long as the fault lasts.
-const acceptPause = time.Millisecond
+const acceptRetryDelay = time.Millisecond
 
 // listener turns away connections beyond the descriptors that callers have, before anything else is spent on
 // them. Guards against running out of descriptors between the accepting and the reducer's making room. An
@@ -23,29 +23,29 @@
 // moment.
 type listener struct {
 	netpoll.Listener
-	open, most atomic.Int64
-	took       atomic.Int64
-	closed     atomic.Bool // nothing more is taken; the socket itself stays as it is
+	openConns, maxConns atomic.Int64
+	acceptCalls         atomic.Int64
+	closed              atomic.Bool // nothing more is taken; the socket itself stays as it is
 
 	// Of the poller's goroutine.
-	failing time.Time // when accepting began to fail of what still waits to be taken; zero: nothing does
-	since   time.Time // what was accepted last may have waited since then; zero: it has not
-	logged  logburst.Limiter
-	began   time.Time
+	failingSince time.Time // when accepting began to fail of what still waits to be taken; zero: nothing does
+	waitingSince time.Time // what was accepted last may have waited since then; zero: it has not
+	logLimiter   logburst.Limiter
+	started      time.Time
 }
 
-func newListener(bare netpoll.Listener, most int) *listener {
-	l := &listener{Listener: bare, logged: logburst.Limiter{Every: faultsEvery}, began: time.Now()}
-	l.most.Store(int64(most))
+func newListener(socket netpoll.Listener, maxConns int) *listener {
+	l := &listener{Listener: socket, logLimiter: logburst.Limiter{Every: faultLogInterval}, started: time.Now()}
+	l.maxConns.Store(int64(maxConns))
 	return l
 }
 
 // settle calls done once nothing waits to be taken: the poller takes one connection in a round, so that a
 // whole round has taken none.
-func (l *listener) settle(done func()) {
+func (l *listener) awaitPending(done func()) {
 	defer done()
-	for took := int64(-1); took != l.took.Load(); {
-		took = l.took.Load()
+	for calls := int64(-1); calls != l.acceptCalls.Load(); {
+		calls = l.acceptCalls.Load()
 		for range 2 { // the first round may have begun before
 			if err := pollerBarrier.wait(); err != nil {
 				log.Printf("the last callers can't be waited for: %v", err)
@@ -65,18 +65,18 @@
 		return nil, errClosed
 	}
 	conn, err := l.Listener.Accept()
-	l.took.Add(1)
-	l.since = l.failing
+	l.acceptCalls.Add(1)
+	l.waitingSince = l.failingSince
 	switch {
 	case errors.Is(err, net.ErrClosed):
 		return nil, err
 	case err != nil:
-		l.failed(err)
+		l.acceptFailed(err)
 		return nil, nil
-	case !l.failing.IsZero() && !readable(l.Fd()):
-		l.failing = time.Time{}
+	case !l.failingSince.IsZero() && !readable(l.Fd()):
+		l.failingSince = time.Time{}
 	}
-	if conn != nil && l.open.Load() >= l.most.Load() {
+	if conn != nil && l.openConns.Load() >= l.maxConns.Load() {
 		_ = conn.Close()
 		return nil, nil
 	}
@@ -84,17 +84,17 @@
 }
 
 // failed takes in an accept that failed.
-func (l *listener) failed(err error) {
+func (l *listener) acceptFailed(err error) {
 	now := time.Now()
-	if l.failing.IsZero() {
-		l.failing = now
+	if l.failingSince.IsZero() {
+		l.failingSince = now
 	}
-	if more, ok := l.logged.Allow(now.Sub(l.began)); ok {
-		log.Printf("a connection can't be accepted now: %v (%d more since the last line)", err, more)
+	if suppressed, ok := l.logLimiter.Allow(now.Sub(l.started)); ok {
+		log.Printf("a connection can't be accepted now: %v (%d more since the last line)", err, suppressed)
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 	if !readable(l.Fd()) { // it was of a connection that is gone by now
-		l.failing = time.Time{}
+		l.failingSince = time.Time{}
 	}
 }
 
@@ -106,4 +106,4 @@
 }
 
 // calm is the number of caller legs up to which the reducer has time to make room.
-func calm(callers int) int { return callers * 7 / 8 }
+func softClientLimit(maxClients int) int { return maxClients * 7 / 8 }
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -16,131 +16,131 @@
 
 // The names that the deployment gives its fields and paths.
 const (
-	fieldID      = "Request-Id"
-	fieldClass   = "Request-Class"
-	fieldTenant  = "Tenant"
-	fieldKey     = "Affinity-Key"
-	fieldTimeout = "Request-Timeout-Ms"
-	fieldUnique  = "Idempotency-Key"
-	fieldRetry   = "Client-Retry"
-	fieldHint    = "Work-Hint"
-	fieldLoad    = "Server-Load"
-	fieldNotRun  = "Not-Started"
-	pathAPI      = "/api"
-	pathReady    = "/healthz"
+	fieldID             = "Request-Id"
+	fieldClass          = "Request-Class"
+	fieldTenant         = "Tenant"
+	fieldAffinityKey    = "Affinity-Key"
+	fieldTimeout        = "Request-Timeout-Ms"
+	fieldIdempotencyKey = "Idempotency-Key"
+	fieldClientRetry    = "Client-Retry"
+	fieldWorkHint       = "Work-Hint"
+	fieldLoad           = "Server-Load"
+	fieldNotStarted     = "Not-Started"
+	pathAPI             = "/api"
+	pathHealth          = "/healthz"
 )
 
 // once are the fields that a request may hold one time only.
-var once = []string{fieldID, fieldClass, fieldTenant, fieldKey, fieldTimeout, fieldUnique, fieldRetry}
+var singletonFields = []string{fieldID, fieldClass, fieldTenant, fieldAffinityKey, fieldTimeout, fieldIdempotencyKey, fieldClientRetry}
 
 // maxTimeout bounds what a caller may ask for.
 const maxTimeout = time.Hour
 
 // maxHint is more work than any request can be: what hints at more has no hint.
-const maxHint = 100 * time.Second
+const maxWorkHint = 100 * time.Second
 
 // hint reads the work in microseconds that a caller estimates, 0 where it is not told or no number that can
 // be one. Guards against optional fields that have a request turned away, or are believed whatever they say.
-func hint(m *http1.Message) time.Duration {
-	v := m.Get(fieldHint)
-	if len(v) == 0 || m.Count(fieldHint) > 1 {
+func workHint(message *http1.Message) time.Duration {
+	value := message.Get(fieldWorkHint)
+	if len(value) == 0 || message.Count(fieldWorkHint) > 1 {
 		return 0
 	}
-	us, err := strconv.ParseFloat(string(v), 64)
-	if most := float64(maxHint / time.Microsecond); err != nil || !(us > 0 && us <= most) {
+	microseconds, err := strconv.ParseFloat(string(value), 64)
+	if limit := float64(maxWorkHint / time.Microsecond); err != nil || !(microseconds > 0 && microseconds <= limit) {
 		return 0
 	}
-	return time.Duration(us * float64(time.Microsecond))
+	return time.Duration(microseconds * float64(time.Microsecond))
 }
 
 // faulty words the answer to what can't be taken as a request.
-func faulty(id reducer.LegID, status int, fields string, last bool) reducer.CallerFaulty {
+func invalidRequest(id reducer.LegID, status int, fields string, last bool) reducer.CallerFaulty {
 	return reducer.CallerFaulty{Leg: id, Payload: http1.Answer(status, fields, "", last), Last: last}
 }
 
 // unreadable words the answer to what the parser gave up on.
-func unreadable(id reducer.LegID, err error) reducer.CallerFaulty {
+func parseFailure(id reducer.LegID, err error) reducer.CallerFaulty {
 	switch err {
 	case http1.ErrHeadSize:
-		return faulty(id, 431, "", true)
+		return invalidRequest(id, 431, "", true)
 	case http1.ErrBodySize:
-		return faulty(id, 413, "", true)
+		return invalidRequest(id, 413, "", true)
 	}
-	return faulty(id, 400, "", true)
+	return invalidRequest(id, 400, "", true)
 }
 
 // asked turns a request that was read at the given time into its event. Stale says that classes that are no
 // longer offered are taken, too.
-func asked(set *settings.Settings, stale bool, id reducer.LegID, m *http1.Message,
-	read time.Duration) reducer.Event {
-	method := string(m.Method)
-	switch string(m.Path()) {
-	case pathReady:
+func requestEvent(config *settings.Settings, acceptStale bool, id reducer.LegID, message *http1.Message,
+	readAt time.Duration) reducer.Event {
+	method := string(message.Method)
+	switch string(message.Path()) {
+	case pathHealth:
 		if method != "GET" {
-			return faulty(id, 405, "Allow: GET\r\n", m.Close)
+			return invalidRequest(id, 405, "Allow: GET\r\n", message.Close)
 		}
-		return reducer.CallerProbed{Leg: id, Last: m.Close}
+		return reducer.CallerProbed{Leg: id, Last: message.Close}
 	case pathAPI:
 	default:
-		return faulty(id, 404, "", m.Close)
+		return invalidRequest(id, 404, "", message.Close)
 	}
 	if method != "GET" && method != "POST" {
-		return faulty(id, 405, "Allow: GET, POST\r\n", m.Close)
+		return invalidRequest(id, 405, "Allow: GET, POST\r\n", message.Close)
 	}
-	for _, name := range once {
-		if m.Count(name) > 1 {
-			return faulty(id, 400, "", true) // whoever reads it next may take another one
+	for _, name := range singletonFields {
+		if message.Count(name) > 1 {
+			return invalidRequest(id, 400, "", true) // whoever reads it next may take another one
 		}
 	}
-	class := -1
-	for i := range set.Classes {
-		offered := set.Offered == 0 || i < set.Offered
-		if string(m.Get(fieldClass)) != set.Classes[i].Name || !offered && !stale {
+	classIndex := -1
+	for i := range config.Classes {
+		offered := config.Offered == 0 || i < config.Offered
+		if string(message.Get(fieldClass)) != config.Classes[i].Name || !offered && !acceptStale {
 			continue
 		}
 		// Of two with one name the one that fits counts, else the one that is offered.
-		if class < 0 || !fits(&set.Classes[class], m) && fits(&set.Classes[i], m) {
-			class = i
+		if classIndex < 0 || !matchesClass(&config.Classes[classIndex], message) && matchesClass(&config.Classes[i], message) {
+			classIndex = i
 		}
 	}
-	if class < 0 || len(m.Get(fieldID)) == 0 {
-		return faulty(id, 400, "", true)
+	if classIndex < 0 || len(message.Get(fieldID)) == 0 {
+		return invalidRequest(id, 400, "", true)
 	}
-	c := &set.Classes[class]
-	if want := methodOf(c.Effect); method != want {
-		return faulty(id, 405, "Allow: "+want+"\r\n", m.Close)
+	class := &config.Classes[classIndex]
+	if wantMethod := methodFor(class.Effect); method != wantMethod {
+		return invalidRequest(id, 405, "Allow: "+wantMethod+"\r\n", message.Close)
 	}
-	may := c.Deadline
-	if v := m.Get(fieldTimeout); v != nil {
-		ms, err := strconv.ParseUint(string(v), 10, 32)
-		if may = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || may > maxTimeout {
-			return faulty(id, 400, "", true)
+	timeout := class.Deadline
+	if value := message.Get(fieldTimeout); value != nil {
+		milliseconds, err := strconv.ParseUint(string(value), 10, 32)
+		if timeout = time.Duration(milliseconds) * time.Millisecond; err != nil || milliseconds == 0 || timeout > maxTimeout {
+			return invalidRequest(id, 400, "", true)
 		}
 	}
-	if (len(m.Get(fieldUnique)) > 0) != (c.Effect == lg.Keyed) {
-		return faulty(id, 400, "", true)
+	if (len(message.Get(fieldIdempotencyKey)) > 0) != (class.Effect == lg.Keyed) {
+		return invalidRequest(id, 400, "", true)
 	}
-	ev := reducer.CallerAsked{Leg: id, Name: string(m.Get(fieldID)), Class: class, Tenant: -1,
-		Deadline: read + may, Repeat: string(m.Get(fieldRetry)) == "1", Cost: hint(m), Payload: m, Last: m.Close}
-	for i := range set.Tenants {
-		if string(m.Get(fieldTenant)) == set.Tenants[i].Name {
-			ev.Tenant = i
+	event := reducer.CallerAsked{Leg: id, Name: string(message.Get(fieldID)), Class: classIndex, Tenant: -1,
+		Deadline: readAt + timeout, Repeat: string(message.Get(fieldClientRetry)) == "1", Cost: workHint(message), Payload: message, Last: message.Close}
+	for i := range config.Tenants {
+		if string(message.Get(fieldTenant)) == config.Tenants[i].Name {
+			event.Tenant = i
 		}
 	}
-	if key := m.Get(fieldKey); len(key) > 0 {
-		ev.Key, ev.HasKey = serverlist.Hash(key), true
+	if key := message.Get(fieldAffinityKey); len(key) > 0 {
+		event.Key, event.HasKey = serverlist.Hash(key), true
 	}
-	return ev
+	return event
 }
 
 // fits tells whether a request has the form that a class asks for.
-func fits(c *lg.Class, m *http1.Message) bool {
-	return string(m.Method) == methodOf(c.Effect) && (len(m.Get(fieldUnique)) > 0) == (c.Effect == lg.Keyed)
+func matchesClass(class *lg.Class, message *http1.Message) bool {
+	return string(message.Method) == methodFor(class.Effect) && (len(message.Get(fieldIdempotencyKey)) > 0) == (class.Effect == lg.Keyed)
 }
 
 // methodOf is the method that goes with what a class may do.
-func methodOf(e lg.Effect) string {
-	if e == lg.Safe {
+func methodFor(effect lg.Effect) string {
+	if effect == lg.Safe {
 		return "GET"
 	}
 	return "POST"
@@ -148,38 +148,38 @@
 
 // answered turns a next hop's answer into its event. Only the two statuses that say so
 // themselves prove that the request never ran.
-func answered(set *settings.Settings, id reducer.LegID, m *http1.Message,
-	keep bool) reducer.HopAnswered {
-	ev := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: m, Keep: keep && !m.Close,
-		Load: load(set.Report, m.Get(fieldLoad))}
-	switch m.Status {
+func responseEvent(config *settings.Settings, id reducer.LegID, message *http1.Message,
+	reusable bool) reducer.HopAnswered {
+	event := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: message, Keep: reusable && !message.Close,
+		Load: parseLoadReport(config.Report, message.Get(fieldLoad))}
+	switch message.Status {
 	case 200:
-		ev.Result = lg.OK
+		event.Result = lg.OK
 	case 503, 504:
-		if string(m.Get(fieldNotRun)) == "1" {
-			ev.Result = lg.Full
+		if string(message.Get(fieldNotStarted)) == "1" {
+			event.Result = lg.Full
 		}
 	}
-	return ev
+	return event
 }
 
 // load reads a load report; one that is garbled or lacks a value counts as none.
-func load(names []lg.LoadField, text []byte) lg.LoadReport {
+func parseLoadReport(names []lg.LoadField, text []byte) lg.LoadReport {
 	if len(text) == 0 || len(names) > len(lg.LoadReport{}.Values) {
 		return lg.LoadReport{}
 	}
 	report := lg.LoadReport{N: len(names)}
 	found := 0
-	for part := range bytes.SplitSeq(text, []byte(",")) {
-		name, value, _ := bytes.Cut(bytes.TrimSpace(part), []byte("="))
+	for pair := range bytes.SplitSeq(text, []byte(",")) {
+		name, value, _ := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
 		field, known := settings.LoadFields[string(name)]
-		v, err := strconv.ParseFloat(string(value), 64)
+		number, err := strconv.ParseFloat(string(value), 64)
 		if err != nil {
 			return lg.LoadReport{}
 		}
-		for i, n := range names {
-			if known && n == field {
-				report.Values[i] = v
+		for i, wanted := range names {
+			if known && wanted == field {
+				report.Values[i] = number
 				found++
 			}
 		}
@@ -191,29 +191,29 @@
 }
 
 // answer words an answer to a caller.
-func answer(e reducer.Effect) [][]byte {
-	switch e.Verdict {
+func encodeAnswer(effect reducer.Effect) [][]byte {
+	switch effect.Verdict {
 	case reducer.Served:
-		return e.Payload.(*http1.Message).Back(fieldLoad, e.Last)
+		return effect.Payload.(*http1.Message).Back(fieldLoad, effect.Last)
 	case reducer.Faulty:
-		return e.Payload.([][]byte)
+		return effect.Payload.([][]byte)
 	case reducer.ReadyNow:
-		return http1.Answer(200, "", "ready\n", e.Last)
+		return http1.Answer(200, "", "ready\n", effect.Last)
 	case reducer.NotReady:
-		return http1.Answer(503, "", "not ready\n", e.Last)
+		return http1.Answer(503, "", "not ready\n", effect.Last)
 	case reducer.Busy:
 		fields := ""
-		if e.Advice > 0 {
-			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", e.Advice.Seconds()), ".000")
+		if effect.Advice > 0 {
+			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", effect.Advice.Seconds()), ".000")
 			fields = "Retry-After: " + seconds + "\r\n"
 		}
-		return http1.Answer(503, fields, "", e.Last)
+		return http1.Answer(503, fields, "", effect.Last)
 	case reducer.Taken:
-		return http1.Answer(409, "", "", e.Last)
+		return http1.Answer(409, "", "", effect.Last)
 	case reducer.TooSlow:
-		return http1.Answer(408, "", "", e.Last)
+		return http1.Answer(408, "", "", effect.Last)
 	case reducer.Late:
-		return http1.Answer(504, "", "", e.Last)
+		return http1.Answer(504, "", "", effect.Last)
 	}
-	return http1.Answer(502, "", "", e.Last)
+	return http1.Answer(502, "", "", effect.Last)
 }
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -12,20 +12,20 @@
 )
 
 // read returns a request of one class with the given lines in its head.
-func read(lines string) (reducer.Event, bool) {
+func parseRequest(lines string) (reducer.Event, bool) {
 	set := settings.Settings{Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}}
 	var p http1.Parser
 	p.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" + lines + "\r\n"))
-	m, err := p.Next()
-	if err != nil || m == nil {
+	message, err := p.Next()
+	if err != nil || message == nil {
 		return nil, false
 	}
-	return asked(&set, false, 1, m, 0), true
+	return requestEvent(&set, false, 1, message, 0), true
 }
 
 // TestHintReachesTheModule guards against hints that never arrive, and against optional fields that turn a
 // request away: what is no estimate of work is as if absent.
-func TestHintReachesTheModule(t *testing.T) {
+func TestWorkHintReachesBalancer(t *testing.T) {
 	for lines, want := range map[string]time.Duration{
 		"":                                       0,
 		"Work-Hint: 53000\r\n":                   53 * time.Millisecond,
@@ -40,30 +40,30 @@
 		"Work-Hint: 5\r\nWork-Hint: 6\r\n":       0,
 		"Work-Hint: \r\nRequest-Info: a=b,=\r\n": 0,
 	} {
-		ev, ok := read(lines)
-		asked, took := ev.(reducer.CallerAsked)
-		if !ok || !took || asked.Cost != want {
-			t.Errorf("%q: got %+v, want a request of %v", lines, ev, want)
+		event, ok := parseRequest(lines)
+		asked, isRequest := event.(reducer.CallerAsked)
+		if !ok || !isRequest || asked.Cost != want {
+			t.Errorf("%q: got %+v, want a request of %v", lines, event, want)
 		}
 	}
 	var got lg.Request
-	s, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: spy{&got},
+	state, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: requestRecorder{&got},
 		Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := read("Work-Hint: 53000\r\n")
-	s.Step(0, reducer.CallerOpened{Leg: 1})
-	if s.Step(0, ev); got.Cost != 53*time.Millisecond {
+	event, _ := parseRequest("Work-Hint: 53000\r\n")
+	state.Step(0, reducer.CallerOpened{Leg: 1})
+	if state.Step(0, event); got.Cost != 53*time.Millisecond {
 		t.Errorf("the module was told %v", got.Cost)
 	}
 }
 
 // spy keeps the requests that it is given.
-type spy struct{ got *lg.Request }
+type requestRecorder struct{ got *lg.Request }
 
-func (s spy) Handle(_ time.Duration, ev lg.Event) []lg.Action {
-	if r, ok := ev.(lg.Request); ok {
+func (s requestRecorder) Handle(_ time.Duration, event lg.Event) []lg.Action {
+	if r, ok := event.(lg.Request); ok {
 		*s.got = r
 	}
 	return nil
@@ -71,7 +71,7 @@
 
 // FuzzAsked checks that whatever an optional field holds, a request that is read is taken, with no work that
 // can't be.
-func FuzzAsked(f *testing.F) {
+func FuzzRequestEvent(f *testing.F) {
 	f.Add("Work-Hint", "12")
 	f.Add("Work-Hint", "-0x1p9")
 	f.Add("Request-Info", "zone=,=,,")
@@ -83,12 +83,12 @@
 		default:
 			return
 		}
-		ev, ok := read(name + ": " + value + "\r\n")
+		event, ok := parseRequest(name + ": " + value + "\r\n")
 		if !ok || strings.ContainsAny(value, "\r\n") {
 			return
 		}
-		if a, ok := ev.(reducer.CallerAsked); !ok || a.Cost < 0 || a.Cost > maxHint {
-			t.Errorf("%s: %q gives %+v", name, value, ev)
+		if request, ok := event.(reducer.CallerAsked); !ok || request.Cost < 0 || request.Cost > maxWorkHint {
+			t.Errorf("%s: %q gives %+v", name, value, event)
 		}
 	})
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/netpoll.go
@@ -13,7 +13,7 @@
 // keeps a deadline as a wall time and compares it with the wall clock when a wait begins, so that after a
 // step of that clock every wait ends at once, or hours late. Time-outs, which are spans, it measures by a
 // timer.
-type connection interface {
+type netpollConn interface {
 	Reader() netpoll.Reader
 	Writer() netpoll.Writer
 	IsActive() bool
@@ -27,44 +27,44 @@
 }
 
 // errOverdue says that the time for something was over before it began.
-var errOverdue = errors.New("its time is over")
+var errDeadlinePassed = errors.New("its time is over")
 
 // flush writes what is in a connection's buffer, and waits for that no longer than so long.
-func flush(c connection, within time.Duration) error {
-	if within <= 0 {
-		return errOverdue
+func flush(conn netpollConn, timeout time.Duration) error {
+	if timeout <= 0 {
+		return errDeadlinePassed
 	}
-	if err := c.SetWriteTimeout(within); err != nil {
+	if err := conn.SetWriteTimeout(timeout); err != nil {
 		return err
 	}
-	return c.Writer().Flush()
+	return conn.Writer().Flush()
 }
 
 // await waits for a first byte, no longer than so long.
-func await(c connection, within time.Duration) error {
-	if within <= 0 {
-		return errOverdue
+func awaitReadable(conn netpollConn, timeout time.Duration) error {
+	if timeout <= 0 {
+		return errDeadlinePassed
 	}
-	if err := c.SetReadTimeout(within); err != nil {
+	if err := conn.SetReadTimeout(timeout); err != nil {
 		return err
 	}
-	_, err := c.Reader().Peek(1)
+	_, err := conn.Reader().Peek(1)
 	return err
 }
 
 // dial opens a connection, no longer than so long. To the library a time-out of 0 means none. What fails by
 // a fault of this machine is tried again: nothing has left it.
-func dial(address string, within time.Duration) (netpoll.Connection, error) {
-	by := time.Now().Add(within)
-	for pause := firstRetry; ; pause = min(2*pause, mostRetry) {
-		left := time.Until(by)
-		if left <= 0 {
-			return nil, errOverdue
+func dial(address string, timeout time.Duration) (netpoll.Connection, error) {
+	deadline := time.Now().Add(timeout)
+	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return nil, errDeadlinePassed
 		}
-		conn, err := netpoll.DialConnection("tcp", address, left)
-		if err == nil || !transient.Opening(err) || left <= pause {
+		conn, err := netpoll.DialConnection("tcp", address, remaining)
+		if err == nil || !transient.Opening(err) || remaining <= delay {
 			return conn, err
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -20,132 +20,132 @@
 
 // Times of what is observed for operators.
 const (
-	clockEvery  = 100 * time.Millisecond // the clocks are compared at most so often
-	faultsEvery = time.Second            // faults of one kind are logged at most so often
-	slowEvent   = 50 * time.Millisecond  // an event that takes so long holds up every request of the process
+	clockCheckInterval = 100 * time.Millisecond // the clocks are compared at most so often
+	faultLogInterval   = time.Second            // faults of one kind are logged at most so often
+	slowItemThreshold  = 50 * time.Millisecond  // an event that takes so long holds up every request of the process
 )
 
 // observer is what the sockets tell operators about: the log's lines and the figures that the reducer can't
 // count. The reducer's goroutine owns it.
 type observer struct {
-	figures   reducer.SocketFigures
-	clock     wallclock.Monitor
-	clockDue  time.Duration
-	unwritten logburst.Limiter
-	refused   logburst.Limiter
-	calls     logburst.Limiter
-	slow      logburst.Limiter
-	wrong     time.Duration // what was logged last of the wall clock at the start
-	lastFault string        // of the last call to discovery; empty: it was answered
+	figures          reducer.SocketFigures
+	wallClock        wallclock.Monitor
+	nextClockCheck   time.Duration
+	unwritten        logburst.Limiter
+	unserved         logburst.Limiter
+	calls            logburst.Limiter
+	slow             logburst.Limiter
+	loggedClockError time.Duration // what was logged last of the wall clock at the start
+	lastCallError    string        // of the last call to discovery; empty: it was answered
 }
 
 func newObserver() observer {
-	every := logburst.Limiter{Every: faultsEvery}
-	return observer{unwritten: every, refused: every, calls: every, slow: every}
+	every := logburst.Limiter{Every: faultLogInterval}
+	return observer{unwritten: every, unserved: every, calls: every, slow: every}
 }
 
 // lookAtClock logs a step of the wall clock. Nothing depends on it.
-func (o *observer) lookAtClock(t time.Time, now time.Duration) {
-	if now < o.clockDue {
+func (o *observer) checkWallClock(wallTime time.Time, now time.Duration) {
+	if now < o.nextClockCheck {
 		return
 	}
-	o.clockDue = now + clockEvery
-	if step := o.clock.Observe(time.Duration(t.UnixNano()), now); step != 0 {
-		o.figures.ClockSteps = o.clock.Steps()
+	o.nextClockCheck = now + clockCheckInterval
+	if step := o.wallClock.Observe(time.Duration(wallTime.UnixNano()), now); step != 0 {
+		o.figures.ClockSteps = o.wallClock.Steps()
 		log.Printf("the wall clock was stepped by %v", step.Round(time.Millisecond))
 	}
 }
 
 // handled takes in how long the reducer's goroutine took for an item, and how long the item had waited. A
 // slow one holds up every request of the process, so it is logged with what it was.
-func (o *observer) handled(item any, began time.Time, took, now time.Duration) {
-	f := &o.figures
-	f.LongestEvent = max(f.LongestEvent, took)
+func (o *observer) recordItem(item any, start time.Time, duration, now time.Duration) {
+	figures := &o.figures
+	figures.LongestEvent = max(figures.LongestEvent, duration)
 	switch item := item.(type) {
 	case bytesIn:
-		f.LongestQueued = max(f.LongestQueued, began.Sub(item.read))
-	case document:
-		f.LongestList = max(f.LongestList, took)
+		figures.LongestQueued = max(figures.LongestQueued, start.Sub(item.readAt))
+	case listDocument:
+		figures.LongestList = max(figures.LongestList, duration)
 	}
-	if took < slowEvent {
+	if duration < slowItemThreshold {
 		return
 	}
-	f.SlowEvents++
-	if more, ok := o.slow.Allow(now); ok {
-		log.Printf("the reducer took %v for %s (%d more since the last line)", rounded(took), itemName(item), more)
+	figures.SlowEvents++
+	if suppressed, ok := o.slow.Allow(now); ok {
+		log.Printf("the reducer took %v for %s (%d more since the last line)", roundForLog(duration), itemName(item), suppressed)
 	}
 }
 
 // handled tells the observer how long an item took that was begun at a moment.
-func (p *proxy) handled(item any, began time.Time) {
+func (p *proxy) recordItem(item any, start time.Time) {
 	end := time.Now()
-	p.observed.handled(item, began, end.Sub(began), p.at(end))
+	p.observer.recordItem(item, start, end.Sub(start), p.at(end))
 }
 
 // itemName is what the log calls an item.
 func itemName(item any) string {
-	if d, ok := item.(document); ok {
-		return fmt.Sprintf("a document of the server list, %d bytes", d.bytes)
+	if document, ok := item.(listDocument); ok {
+		return fmt.Sprintf("a document of the server list, %d bytes", document.size)
 	}
 	return strings.TrimPrefix(fmt.Sprintf("%T", item), "transport.")
 }
 
 // called takes in the end of a call to discovery. A fault is logged when it begins, when it changes, and
 // once a burst for as long as it lasts.
-func (o *observer) called(d document, err error, now time.Duration) {
+func (o *observer) recordCall(document listDocument, err error, now time.Duration) {
 	if err == nil {
 		o.figures.CallsAnswered++
-		if o.lastFault != "" {
-			log.Printf("discovery: call %d to %s was answered after %v", d.call, d.from.address, rounded(d.took))
+		if o.lastCallError != "" {
+			log.Printf("discovery: call %d to %s was answered after %v", document.callNumber, document.from.address, roundForLog(document.duration))
 		}
-		o.lastFault = ""
+		o.lastCallError = ""
 		return
 	}
 	o.figures.CallsFailed++
-	changed := err.Error() != o.lastFault
-	o.lastFault = err.Error()
-	if more, ok := o.calls.Allow(now); ok || changed {
-		log.Printf("discovery: %v (call %d to %s, after %v; %d more since the last line)", err, d.call,
-			d.from.address, rounded(d.took), more)
+	changed := err.Error() != o.lastCallError
+	o.lastCallError = err.Error()
+	if suppressed, ok := o.calls.Allow(now); ok || changed {
+		log.Printf("discovery: %v (call %d to %s, after %v; %d more since the last line)", err, document.callNumber,
+			document.from.address, roundForLog(document.duration), suppressed)
 	}
 }
 
 // unanswered takes in that an answer could not be written. That its client has left is nothing to tell.
-func (o *observer) unanswered(g *leg, err error, now time.Duration) {
-	if err == nil || clientLeft(err) {
+func (o *observer) recordUnwritten(conn *connection, err error, now time.Duration) {
+	if err == nil || isDisconnect(err) {
 		return
 	}
 	o.figures.Unwritten++
-	if more, ok := o.unwritten.Allow(now); ok {
+	if suppressed, ok := o.unwritten.Allow(now); ok {
 		log.Printf("the answer to request %q was not written and its connection is closed: %v (%d more since "+
-			"the last line)", g.asked, err, more)
+			"the last line)", conn.requestID, err, suppressed)
 	}
 }
 
 // unserved takes in an answer that is about to be written. One that is no server's, to a request that was
 // taken, is logged with what had been tried, so that an operator can tell why a client was turned away.
-func (o *observer) unserved(g *leg, e reducer.Effect, now time.Duration) {
-	u, ok := e.Payload.(reducer.Unserved)
+func (o *observer) recordUnserved(conn *connection, effect reducer.Effect, now time.Duration) {
+	unserved, ok := effect.Payload.(reducer.Unserved)
 	if !ok {
 		return
 	}
-	more, ok := o.refused.Allow(now)
+	suppressed, ok := o.unserved.Allow(now)
 	if !ok {
 		return
 	}
-	tried := "nothing was sent to a server"
-	if u.Attempts > 0 {
-		tried = fmt.Sprintf("%d attempts, last result %s", u.Attempts, u.Last)
+	attempts := "nothing was sent to a server"
+	if unserved.Attempts > 0 {
+		attempts = fmt.Sprintf("%d attempts, last result %s", unserved.Attempts, unserved.Last)
 	}
-	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", g.asked, e.Verdict,
-		rounded(u.Took), tried, more)
+	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", conn.requestID, effect.Verdict,
+		roundForLog(unserved.Took), attempts, suppressed)
 }
 
 // clientLeft tells whether an answer was not written because the other side has gone.
-func clientLeft(err error) bool {
-	for _, left := range []error{net.ErrClosed, io.EOF, netpoll.ErrConnClosed, netpoll.ErrEOF, syscall.EPIPE,
+func isDisconnect(err error) bool {
+	for _, disconnect := range []error{net.ErrClosed, io.EOF, netpoll.ErrConnClosed, netpoll.ErrEOF, syscall.EPIPE,
 		syscall.ECONNRESET, errStopped} {
-		if errors.Is(err, left) {
+		if errors.Is(err, disconnect) {
 			return true
 		}
 	}
@@ -153,44 +153,44 @@
 }
 
 // rounded is a duration as a log line has it.
-func rounded(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
+func roundForLog(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
 
 // mostNamed bounds the servers that one line of the log names.
-const mostNamed = 12
+const maxLoggedServers = 12
 
 // stateNames are what the log calls a server's states.
 var stateNames = [...]string{lg.Ready: "ready", lg.Draining: "draining", lg.Gone: "gone"}
 
 // logChanges logs what the server list that came last has changed.
-func (p *proxy) logChanges() {
-	if wrong := p.servers.ClockError(); (wrong - p.observed.wrong).Abs() >= wallclock.Threshold {
-		p.observed.wrong = wrong
+func (p *proxy) logListChanges() {
+	if clockError := p.servers.ClockError(); (clockError - p.observer.loggedClockError).Abs() >= wallclock.Threshold {
+		p.observer.loggedClockError = clockError
 		log.Printf("the wall clock was wrong by about %v when this process started, as servers' start times tell: "+
-			"servers are taken for younger rather than older", wrong.Round(time.Second))
+			"servers are taken for younger rather than older", clockError.Round(time.Second))
 	}
 	changes := p.servers.Changes()
 	if len(changes) == 0 {
 		return
 	}
 	var line strings.Builder
-	for _, c := range changes[:min(len(changes), mostNamed)] {
-		state := stateNames[c.State]
-		if c.Restarted {
+	for _, change := range changes[:min(len(changes), maxLoggedServers)] {
+		state := stateNames[change.State]
+		if change.Restarted {
 			state = "restarted"
 		}
-		fmt.Fprintf(&line, ", %s %s", c.Name, state)
+		fmt.Fprintf(&line, ", %s %s", change.Name, state)
 	}
-	if more := len(changes) - mostNamed; more > 0 {
+	if more := len(changes) - maxLoggedServers; more > 0 {
 		fmt.Fprintf(&line, ", %d more", more)
 	}
 	log.Printf("server list: version %d%s", p.servers.Version(), &line)
 }
 
 // logServer logs a line, with the name of the server that it is about.
-func (p *proxy) logServer(e reducer.Effect) {
-	if name := p.servers.Name(e.Server); e.Server != 0 && name != "" {
-		log.Printf("%s (%s)", e.Text, name)
+func (p *proxy) logEffect(effect reducer.Effect) {
+	if name := p.servers.Name(effect.Server); effect.Server != 0 && name != "" {
+		log.Printf("%s (%s)", effect.Text, name)
 		return
 	}
-	log.Print(e.Text)
+	log.Print(effect.Text)
 }
--- /dev/null
+++ b/internal/transport/peers_test.go
@@ -0,0 +1,38 @@
+package transport
+
+import (
+	"testing"
+	"time"
+
+	"lilacglade/internal/reducer"
+)
+
+// TestTooLateToBegin guards against a request written at a machine that may be out, by a process that was
+// paused just before, or after its time, or so long after it was decided that its client may have left.
+func TestTooLateToBegin(t *testing.T) {
+	p := &proxy{clock: newClock(), inbox: newInbox()}
+	future, past := p.now()+time.Hour, p.now()
+	for _, effect := range []reducer.Effect{{At: future}, {At: future, Begin: future}} {
+		if p.tooLateCheck(effect, written{})() {
+			t.Errorf("%+v: too late an hour before", effect)
+		}
+	}
+	conn := &connection{inbox: p.inbox, clock: p.clock}
+	for _, effect := range []reducer.Effect{{At: future, Begin: past}, {At: past}, {At: past, Begin: future}} {
+		conn.write(writeJob{buffers: [][]byte{[]byte("x")}, tooLate: p.tooLateCheck(effect, written{conn: conn})})
+		<-p.inbox.wake
+		if items := p.inbox.takeAll(nil); len(items) != 1 || items[0].(written).err == nil {
+			t.Errorf("%+v: got %+v", effect, items)
+		}
+	}
+	// Held up for longer than the rules allow for, it is decided anew.
+	late := p.tooLateCheck(reducer.Effect{At: future}, written{conn: conn})
+	time.Sleep(maxWriteDelay + time.Millisecond)
+	if !late() {
+		t.Error("begun though it was held up")
+	}
+	<-p.inbox.wake
+	if items := p.inbox.takeAll(nil); len(items) != 1 || items[0] != (requestUnsent{conn}) {
+		t.Errorf("got %+v", items)
+	}
+}
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -25,58 +25,58 @@
 // Descriptors are budgeted apart, so that neither side can starve the other: some stay for
 // the listener, the poller and discovery, and of the rest callers get these parts.
 const (
-	spareSockets = 40
-	callerParts  = 5
-	hopParts     = 3
+	reservedSockets   = 40
+	clientSocketShare = 5
+	serverSocketShare = 3
 )
 
 // idleParts of the keep-alive limit: an idle leg to a next hop is closed after one of them,
 // well before the other side closes it under a request's hands.
-const idleParts = 4
+const idleTimeoutDivisor = 4
 
 // continueWithin is how long a caller may take to read the leave to send its body.
-const continueWithin = 10 * time.Second
+const continueTimeout = 10 * time.Second
 
 // heldWhileBusy bounds what a caller may send ahead while its request is being worked on: some
 // requests without much of a body.
-const heldWhileBusy = http1.MaxHead
+const maxPipelinedBytes = http1.MaxHead
 
 // mostEarly bounds the 1xx answers before the one that counts.
-const mostEarly = 8
+const maxInterimResponses = 8
 
 // recvBuffer is what the kernel keeps for a leg that is not read from. netpoll's own buffers grow with
 // what it finds there at a time.
-const recvBuffer = http1.MaxBody
+const receiveBufferSize = http1.MaxBody
 
 type proxy struct {
-	set settings.Settings
+	settings settings.Settings
 	clock
-	inbox    *inbox
-	state    *reducer.State
-	servers  *serverlist.Set
-	decoder  *serverlist.Decoder
-	watcher  *watcher
-	listener *listener
-	callers  map[reducer.LegID]*leg
-	hops     map[reducer.LegID]*leg
-	timer    *time.Timer
-	door     *admin.Door // nil: operators can't call
-	passed   bool        // the listening socket is shared with other processes of this proxy
-	serve    func()      // begins to take connections; nil once that is done
-	saver    *saver      // nil: nothing is handed over
-	windows  windows
-	limits   settings.Limits
-	stale    time.Duration // until then classes that were dropped are taken
-	done     bool
-	peers    *peers.Node // nil: it talks to no other proxy
-	loads    loads
-	observed observer
+	inbox             *inbox
+	state             *reducer.State
+	servers           *serverlist.Set
+	decoder           *serverlist.Decoder
+	watcher           *watcher
+	listener          *listener
+	clientConns       map[reducer.LegID]*connection
+	serverConns       map[reducer.LegID]*connection
+	timer             *time.Timer
+	adminServer       *admin.Door     // nil: operators can't call
+	socketShared      bool            // the listening socket is shared with other processes of this proxy
+	startAccepting    func()          // begins to take connections; nil once that is done
+	handoverWriter    *handoverWriter // nil: nothing is handed over
+	buffers           bufferPool
+	limits            settings.Limits
+	staleClassesUntil time.Duration // until then classes that were dropped are taken
+	done              bool
+	peers             *peers.Node // nil: it talks to no other proxy
+	lastPublished     publishedLoad
+	observer          observer
 }
 
 // budget gives callers and next hops their parts of the descriptors.
-func budget(l settings.Limits) (callers, hops int) {
-	sockets := l.Sockets - spareSockets
-	return sockets * callerParts / (callerParts + hopParts), sockets * hopParts / (callerParts + hopParts)
+func connectionLimits(limits settings.Limits) (clients, servers int) {
+	sockets := limits.Sockets - reservedSockets
+	return sockets * clientSocketShare / (clientSocketShare + serverSocketShare), sockets * serverSocketShare / (clientSocketShare + serverSocketShare)
 }
 
 // Reload is the outcome of reading a new configuration.
@@ -100,74 +100,74 @@
 }
 
 // ServeWithOptions runs the proxy with options.
-func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, o Options) error {
-	p := &proxy{set: node.Settings, clock: startClock(), inbox: newInbox(),
-		callers: map[reducer.LegID]*leg{}, hops: map[reducer.LegID]*leg{}, timer: time.NewTimer(0),
-		observed: newObserver(), decoder: new(serverlist.Decoder)}
-	p.servers = serverlist.New(p.set.ZoneNames, p.set.KindNames, p.epoch())
-	callers, hops := budget(node.Limits)
+func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, options Options) error {
+	p := &proxy{settings: node.Settings, clock: newClock(), inbox: newInbox(),
+		clientConns: map[reducer.LegID]*connection{}, serverConns: map[reducer.LegID]*connection{}, timer: time.NewTimer(0),
+		observer: newObserver(), decoder: new(serverlist.Decoder)}
+	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
+	maxClients, maxServers := connectionLimits(node.Limits)
 	var err error
-	p.passed = node.Passed != ""
-	p.windows = newWindows(int64(node.Limits.MemoryMB) << 20)
-	cfg := reducer.Config{Settings: p.set.Settings, Seed: node.Seed,
-		MaxCallers: calm(callers), MaxHops: hops, IdleHops: p.set.KeepAlive / idleParts,
-		Discovery: node.Discovery, Decider: o.Decider, Trace: o.Trace, Work: o.Peers != nil,
-		Figures: node.Admin != "" || o.Peers != nil}
-	if p.passed || !p.set.AskForList {
-		cfg.Confirm = p.now() + confirmWithin
+	p.socketShared = node.Passed != ""
+	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
+	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
+		MaxCallers: softClientLimit(maxClients), MaxHops: maxServers, IdleHops: p.settings.KeepAlive / idleTimeoutDivisor,
+		Discovery: node.Discovery, Decider: options.Decider, Trace: options.Trace, Work: options.Peers != nil,
+		Figures: node.Admin != "" || options.Peers != nil}
+	if p.socketShared || !p.settings.AskForList {
+		cfg.Confirm = p.now() + confirmTimeout
 	}
-	if p.passed {
-		cfg.Overlap = p.now() + overlapFor
+	if p.socketShared {
+		cfg.Overlap = p.now() + overlapDuration
 	}
 	p.state, err = reducer.New(cfg)
 	if err != nil {
 		return err
 	}
-	if o.Peers != nil {
-		if err := p.join(*o.Peers, node); err != nil {
+	if options.Peers != nil {
+		if err := p.joinPeers(*options.Peers, node); err != nil {
 			return err
 		}
 	}
 	if node.Admin != "" {
-		p.door = new(admin.Door)
+		p.adminServer = new(admin.Door)
 		if p.peers != nil {
-			p.door.Work = p.peers.Work
+			p.adminServer.Work = p.peers.Work
 		}
-		if err := p.door.Listen(node.Admin); err != nil {
+		if err := p.adminServer.Listen(node.Admin); err != nil {
 			return err
 		}
 	}
-	bare, err := listen(node)
+	socket, err := listen(node)
 	if err != nil {
 		return err
 	}
-	if err := syscall.SetsockoptInt(bare.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, recvBuffer); err != nil {
+	if err := syscall.SetsockoptInt(socket.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize); err != nil {
 		log.Printf("the listening socket keeps its own buffer: %v", err) // no reason not to serve
 	}
-	ln := newListener(bare, callers)
+	ln := newListener(socket, maxClients)
 	p.listener, p.limits = ln, node.Limits
-	p.confined()
-	if p.passed {
-		time.AfterFunc(overlapFor, func() { p.inbox.post(alone{}) })
+	p.applyLimits()
+	if p.socketShared {
+		time.AfterFunc(overlapDuration, func() { p.inbox.post(overlapEnded{}) })
 	}
-	loop, err := netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(p.accept(ln)))
+	eventLoop, err := netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(p.onPrepare(ln)))
 	if err != nil {
 		return err
 	}
-	p.serve = func() {
-		p.serve = nil
-		go func() { p.inbox.post(failed{loop.Serve(ln)}) }()
+	p.startAccepting = func() {
+		p.startAccepting = nil
+		go func() { p.inbox.post(serveFailed{eventLoop.Serve(ln)}) }()
 	}
 	go func() {
 		<-ctx.Done()
 		p.inbox.post(stopping{})
 	}()
 	go func() {
-		for l := range reloads {
-			p.inbox.post(reloaded{l})
+		for reload := range reloads {
+			p.inbox.post(reloaded{reload})
 		}
 	}()
-	if !p.takeOver(node) && !p.know(node.Known) {
+	if !p.takeOver(node) && !p.applyKnownList(node.Known) {
 		// Guards against a process that never asks, since it was never told anything.
 		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
 	}
@@ -179,48 +179,48 @@
 	return err
 }
 
-type legKey struct{}
+type connKey struct{}
 
 // accept returns netpoll's hook for a new connection.
-func (p *proxy) accept(ln *listener) netpoll.OnPrepare {
-	var last atomic.Uint64
-	return func(conn netpoll.Connection) context.Context {
-		ln.open.Add(1)
-		g := &leg{id: reducer.LegID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
-			waited: ln.since, taken: time.Now()}
-		g.attach(conn, func() { ln.open.Add(-1) })
-		p.inbox.post(accepted{g})
-		return context.WithValue(context.Background(), legKey{}, g)
+func (p *proxy) onPrepare(ln *listener) netpoll.OnPrepare {
+	var lastID atomic.Uint64
+	return func(socket netpoll.Connection) context.Context {
+		ln.openConns.Add(1)
+		conn := &connection{id: reducer.LegID(lastID.Add(1)), isClient: true, inbox: p.inbox, clock: p.clock,
+			waitingSince: ln.waitingSince, acceptedAt: time.Now()}
+		conn.attach(socket, func() { ln.openConns.Add(-1) })
+		p.inbox.post(accepted{conn})
+		return context.WithValue(context.Background(), connKey{}, conn)
 	}
 }
 
-func onRequest(ctx context.Context, conn netpoll.Connection) error {
-	return ctx.Value(legKey{}).(*leg).onRequest(ctx, conn)
+func onRequest(ctx context.Context, socket netpoll.Connection) error {
+	return ctx.Value(connKey{}).(*connection).onRequest(ctx, socket)
 }
 
 // run is the reducer's goroutine.
 func (p *proxy) run() error {
 	var items []any
 	for !p.done {
-		if p.serve != nil && p.takes() {
-			p.serve()
+		if p.startAccepting != nil && p.readyToAccept() {
+			p.startAccepting()
 		}
-		p.save()
+		p.saveHandover()
 		select {
 		case <-p.inbox.wake:
 		case <-p.timer.C:
-			began := time.Now()
+			start := time.Now()
 			p.step(reducer.Woken{})
-			p.handled(reducer.Woken{}, began)
+			p.recordItem(reducer.Woken{}, start)
 		}
-		items = p.inbox.take(items)
+		items = p.inbox.takeAll(items)
 		for _, item := range items {
-			if f, ok := item.(failed); ok && !p.listener.closed.Load() {
-				return fmt.Errorf("listen: %w", f.err)
+			if failure, ok := item.(serveFailed); ok && !p.listener.closed.Load() {
+				return fmt.Errorf("listen: %w", failure.err)
 			}
-			began := time.Now()
-			p.take(item)
-			p.handled(item, began)
+			start := time.Now()
+			p.handleItem(item)
+			p.recordItem(item, start)
 		}
 		clear(items)
 	}
--- a/internal/transport/rig.go
+++ b/internal/transport/rig.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// rigClock is how fast the proxy's clock runs, in a test of clocks that run apart; 1: right.
-var rigClock = func() float64 {
+// clockRate is how fast the proxy's clock runs, in a test of clocks that run apart; 1: right.
+var clockRate = func() float64 {
 	if v, err := strconv.ParseFloat(os.Getenv("RIG_CLOCK"), 64); err == nil && v > 0 {
 		return v
 	}
@@ -17,7 +17,11 @@
 }()
 
 // elapsed is how far the proxy's clock has come since its start.
-func elapsed(since time.Duration) time.Duration { return time.Duration(rigClock * float64(since)) }
+func scaleElapsed(since time.Duration) time.Duration {
+	return time.Duration(clockRate * float64(since))
+}
 
 // lasting is the reverse of elapsed.
-func lasting(elapsed time.Duration) time.Duration { return time.Duration(float64(elapsed) / rigClock) }
+func unscaleElapsed(elapsed time.Duration) time.Duration {
+	return time.Duration(float64(elapsed) / clockRate)
+}
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -8,59 +8,59 @@
 
 // readHop looks for the answer on a hop leg. Whatever is not the one answer that is owed makes
 // the leg unfit: the next request could take it for its own.
-func (p *proxy) readHop(g *leg, cut bool) {
-	if !g.busy {
-		if g.parser.Partial() {
-			p.step(reducer.HopStray{Leg: g.id})
+func (p *proxy) readServer(conn *connection, truncated bool) {
+	if !conn.busy {
+		if conn.parser.Partial() {
+			p.step(reducer.HopStray{Leg: conn.id})
 		}
 		return
 	}
-	m, err := g.parser.Next()
-	for ; err == nil && m != nil && m.Status < 200; m, err = g.parser.Next() {
-		if g.early++; g.early > mostEarly || m.Status == 101 {
+	message, err := conn.parser.Next()
+	for ; err == nil && message != nil && message.Status < 200; message, err = conn.parser.Next() {
+		if conn.interimResponses++; conn.interimResponses > maxInterimResponses || message.Status == 101 {
 			err = http1.ErrMalformed
 			break
 		}
 	}
 	switch {
-	case err != nil, m == nil && cut:
-		p.answered(g, reducer.HopAnswered{Leg: g.id, Result: lg.ServerError})
-	case m != nil:
-		p.answered(g, answered(&p.set, g.id, m, !g.parser.Partial() && !cut))
-	case g.parser.Large() && !g.isRaw:
-		g.pause(false)
-	case g.parser.Large() && g.pulling: // whose bytes come first
-		g.hush()
-	case g.parser.Large():
-		p.download(g)
-	case g.parser.Open() && g.parser.Status() == 200 && !g.begun:
-		g.begun = true
-		p.step(reducer.HopBegins{Leg: g.id})
+	case err != nil, message == nil && truncated:
+		p.finishResponse(conn, reducer.HopAnswered{Leg: conn.id, Result: lg.ServerError})
+	case message != nil:
+		p.finishResponse(conn, responseEvent(&p.settings, conn.id, message, !conn.parser.Partial() && !truncated))
+	case conn.parser.Large() && !conn.isDetached:
+		conn.requestDetach(false)
+	case conn.parser.Large() && conn.readPending: // whose bytes come first
+		conn.interruptRead()
+	case conn.parser.Large():
+		p.startDownload(conn)
+	case conn.parser.Open() && conn.parser.Status() == 200 && !conn.responseStarted:
+		conn.responseStarted = true
+		p.step(reducer.HopBegins{Leg: conn.id})
 	}
 }
 
 // answered takes in that a hop leg owes nothing any more. What is still being passed on to it is stopped.
-func (p *proxy) answered(g *leg, ev reducer.HopAnswered) {
-	g.busy = false
-	if g.flow != nil {
-		ev.Gone = g.flow.stop(g)
+func (p *proxy) finishResponse(conn *connection, event reducer.HopAnswered) {
+	conn.busy = false
+	if conn.upload != nil {
+		event.Gone = conn.upload.stop(conn)
 	}
-	p.step(ev)
+	p.step(event)
 }
 
 // download begins to pass on an answer whose body is large.
-func (p *proxy) download(g *leg) {
-	m, body, rest := g.parser.Stream()
-	ev := answered(&p.set, g.id, m, len(rest) == 0)
-	early := g.flow != nil && !g.flow.ended
-	if body.Done || ev.Result != lg.OK || early {
+func (p *proxy) startDownload(conn *connection) {
+	message, body, rest := conn.parser.Stream()
+	event := responseEvent(&p.settings, conn.id, message, len(rest) == 0)
+	early := conn.upload != nil && !conn.upload.complete
+	if body.Done || event.Result != lg.OK || early {
 		if !body.Done || early { // one that comes before its request is whole is not passed on either
-			ev = reducer.HopAnswered{Leg: g.id, Result: lg.ServerError, Load: ev.Load}
+			event = reducer.HopAnswered{Leg: conn.id, Result: lg.ServerError, Load: event.Load}
 		}
-		p.answered(g, ev)
+		p.finishResponse(conn, event)
 		return
 	}
-	g.busy, g.streaming = false, true
-	p.step(reducer.HopStreams{Leg: g.id, Load: ev.Load, Payload: &flow{m: m, from: g, length: body.Known(),
-		windows: p.windows, body: body}})
+	conn.busy, conn.streaming = false, true
+	p.step(reducer.HopStreams{Leg: conn.id, Load: event.Load, Payload: &bodyStream{message: message, source: conn, length: body.Known(),
+		buffers: p.buffers, body: body}})
 }
--- /dev/null
+++ b/internal/transport/streaming.go
@@ -0,0 +1,59 @@
+package transport
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"lilacglade/internal/http1"
+	"lilacglade/internal/reducer"
+)
+
+// passedOn takes in that a flow has ended, at a leg that got it.
+func (p *proxy) finishStream(result written) {
+	destination, stream, ok, leftover := result.conn, result.stream, result.err == nil, result.leftover
+	source := stream.source
+	if destination.isClient {
+		destination.busy, source.streaming = false, false
+		destination.requestPending.Store(false)
+		p.observer.recordUnwritten(destination, result.err, p.now())
+		reusable := ok && len(leftover) == 0 && !stream.message.Close
+		p.step(reducer.CallerWritten{Leg: destination.id, OK: ok, Keep: reusable})
+		p.readConn(destination, false)
+		source.readNext()
+		return
+	}
+	destination.upload = nil
+	consumed := stream.stop(destination)
+	if ok {
+		source.streaming = false
+		if len(leftover) > 0 {
+			source.parser.Feed(leftover)
+		}
+		p.readConn(source, false)
+	}
+	p.step(reducer.HopWritten{Leg: destination.id, OK: ok, Gone: consumed})
+}
+
+// pass passes a flow on to a leg, on the goroutine that writes on that leg.
+func (p *proxy) streamJob(stream *bodyStream, destination *connection, head [][]byte) writeJob {
+	stream.setDestination(destination)
+	return writeJob{stream: func() {
+		leftover, err := stream.copyTo(destination, head, func() {
+			if stream.isUpload {
+				p.inbox.post(bodyComplete{stream, time.Now()})
+			}
+		})
+		if err != nil && destination.isClient && stream.length < 0 && stream.http10 {
+			destination.resetOnClose()
+		}
+		switch {
+		case err == nil, errors.Is(err, errStopped), errors.Is(err, errReceiver), !stream.isUpload:
+		case errors.Is(err, os.ErrDeadlineExceeded), err == http1.ErrMalformed, err == http1.ErrBodySize:
+			p.inbox.post(bodyFailed{stream.source, err})
+		default:
+			p.inbox.post(connClosed{stream.source, true})
+		}
+		p.inbox.post(written{conn: destination, err: err, stream: stream, leftover: leftover})
+	}}
+}
--- a/internal/transport/watcher.go
+++ b/internal/transport/watcher.go
@@ -14,42 +14,42 @@
 )
 
 // connectWithin is how long a connection to discovery may take to come up.
-const connectWithin = 3 * time.Second
+const discoveryConnectTimeout = 3 * time.Second
 
 // giveUpSlack is how much later than the reducer, which ends them in the order of events, a call ends itself.
-const giveUpSlack = time.Second
+const callTimeoutSlack = time.Second
 
 // call is one call to discovery.
 type call struct {
-	target string
-	by     time.Duration // on the proxy's clock
+	target   string
+	deadline time.Duration // on the proxy's clock
 }
 
 // watcher calls discovery at one address, one call at a time on a connection that it keeps.
 type watcher struct {
-	address string
-	inbox   *inbox
-	clock   clock
-	decoder *serverlist.Decoder
-	calls   chan call
-	conn    connection // opened and closed by run alone
-	number  uint64     // of the last call that it made
+	address   string
+	inbox     *inbox
+	clock     clock
+	decoder   *serverlist.Decoder
+	calls     chan call
+	conn      netpollConn // opened and closed by run alone
+	callCount uint64      // of the last call that it made
 
 	mu      sync.Mutex
 	stopped bool
 }
 
-func newWatcher(address string, b *inbox, c clock, d *serverlist.Decoder) *watcher {
-	return &watcher{address: address, inbox: b, clock: c, decoder: d, calls: make(chan call, 1)}
+func newWatcher(address string, inbox *inbox, clock clock, decoder *serverlist.Decoder) *watcher {
+	return &watcher{address: address, inbox: inbox, clock: clock, decoder: decoder, calls: make(chan call, 1)}
 }
 
 // ask wants a call made. One that is not yet begun is replaced.
-func (w *watcher) ask(c call) {
+func (w *watcher) request(next call) {
 	select {
 	case <-w.calls:
 	default:
 	}
-	w.calls <- c
+	w.calls <- next
 }
 
 // stop ends the call that is out, and with it the watcher. The connection is only shut down
@@ -63,32 +63,32 @@
 	default:
 	}
 	close(w.calls)
-	if c, ok := w.conn.(netpoll.Conn); ok {
-		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_RDWR) // one that broke meanwhile ends by itself
+	if descriptor, ok := w.conn.(netpoll.Conn); ok {
+		_ = syscall.Shutdown(descriptor.Fd(), syscall.SHUT_RDWR) // one that broke meanwhile ends by itself
 	}
 }
 
 func (w *watcher) run() {
-	for c := range w.calls {
-		w.number++
-		began := time.Now()
-		raw, err := w.do(c)
+	for next := range w.calls {
+		w.callCount++
+		start := time.Now()
+		raw, err := w.roundTrip(next)
 		if err != nil {
-			w.hold(nil)
+			w.setConn(nil)
 		}
-		d := document{from: w, err: err, bytes: len(raw), call: w.number, took: time.Since(began)}
+		result := listDocument{from: w, err: err, size: len(raw), callNumber: w.callCount, duration: time.Since(start)}
 		if err == nil { // here and not in the reducer, which it would hold up
-			came := time.Now()
-			d.list, d.err = w.decoder.Decode(raw)
-			d.unusable, d.decoding = d.err != nil, time.Since(came)
+			received := time.Now()
+			result.list, result.err = w.decoder.Decode(raw)
+			result.malformed, result.decodeTime = result.err != nil, time.Since(received)
 		}
-		w.inbox.post(d)
+		w.inbox.post(result)
 	}
-	w.hold(nil)
+	w.setConn(nil)
 }
 
 // hold closes the connection and keeps the given one, unless the watcher was stopped.
-func (w *watcher) hold(conn connection) bool {
+func (w *watcher) setConn(conn netpollConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.conn != nil {
@@ -102,96 +102,96 @@
 }
 
 // do makes one call.
-func (w *watcher) do(c call) ([]byte, error) {
+func (w *watcher) roundTrip(next call) ([]byte, error) {
 	if w.conn == nil || !w.conn.IsActive() {
-		conn, err := dial(w.address, min(connectWithin, w.clock.until(c.by)))
+		conn, err := dial(w.address, min(discoveryConnectTimeout, w.clock.until(next.deadline)))
 		if err != nil {
 			return nil, err
 		}
-		if !w.hold(conn) {
+		if !w.setConn(conn) {
 			return nil, errors.New("given up")
 		}
 	}
-	w.inbox.post(reached{w})
-	for _, b := range http1.Ask(c.target, w.address) {
-		if _, err := w.conn.Writer().WriteBinary(b); err != nil {
+	w.inbox.post(discoveryConnected{w})
+	for _, part := range http1.Ask(next.target, w.address) {
+		if _, err := w.conn.Writer().WriteBinary(part); err != nil {
 			return nil, err
 		}
 	}
-	if err := flush(w.conn, w.clock.until(c.by)); err != nil {
+	if err := flush(w.conn, w.clock.until(next.deadline)); err != nil {
 		return nil, err
 	}
-	m, err := w.read(c.by)
+	message, err := w.readResponse(next.deadline)
 	if err != nil {
 		return nil, err
 	}
-	if m.Status != 200 {
-		return nil, fmt.Errorf("status %d to %s", m.Status, c.target)
+	if message.Status != 200 {
+		return nil, fmt.Errorf("status %d to %s", message.Status, next.target)
 	}
-	if m.Close {
-		w.hold(nil)
+	if message.Close {
+		w.setConn(nil)
 	}
-	return m.Body, nil
+	return message.Body, nil
 }
 
-func (w *watcher) read(by time.Duration) (*http1.Message, error) {
+func (w *watcher) readResponse(deadline time.Duration) (*http1.Message, error) {
 	parser := http1.Parser{Responses: true}
 	for {
-		b, err := w.more(by)
+		data, err := w.readMore(deadline)
 		if err != nil {
-			if m := parser.End(); m != nil && !w.reset() {
-				return m, nil
+			if message := parser.End(); message != nil && !w.wasReset() {
+				return message, nil
 			}
 			return nil, err
 		}
-		parser.Feed(b)
-		m, err := parser.Next()
-		if m != nil || err != nil {
-			return m, err
+		parser.Feed(data)
+		message, err := parser.Next()
+		if message != nil || err != nil {
+			return message, err
 		}
 		if parser.Large() { // a list of many servers
-			return w.rest(&parser, by)
+			return w.readBody(&parser, deadline)
 		}
 	}
 }
 
 // reset tells whether the connection did not end in good order.
-func (w *watcher) reset() bool {
-	c, ok := w.conn.(netpoll.Conn)
-	return !ok || wasReset(c.Fd())
+func (w *watcher) wasReset() bool {
+	descriptor, ok := w.conn.(netpoll.Conn)
+	return !ok || wasReset(descriptor.Fd())
 }
 
 // more waits for the next bytes.
-func (w *watcher) more(by time.Duration) ([]byte, error) {
-	if err := await(w.conn, w.clock.until(by)); err != nil {
+func (w *watcher) readMore(deadline time.Duration) ([]byte, error) {
+	if err := awaitReadable(w.conn, w.clock.until(deadline)); err != nil {
 		return nil, err
 	}
-	r := w.conn.Reader()
-	b, err := r.ReadBinary(r.Len())
+	reader := w.conn.Reader()
+	data, err := reader.ReadBinary(reader.Len())
 	if err != nil {
 		return nil, err
 	}
-	return b, r.Release()
+	return data, reader.Release()
 }
 
 // rest reads the rest of a large answer.
-func (w *watcher) rest(parser *http1.Parser, by time.Duration) (*http1.Message, error) {
-	m, body, _ := parser.Stream()
+func (w *watcher) readBody(parser *http1.Parser, deadline time.Duration) (*http1.Message, error) {
+	message, body, _ := parser.Stream()
 	for !body.Done {
-		in, err := w.more(by)
+		input, err := w.readMore(deadline)
 		if err != nil {
-			if body.TillClose() && !w.reset() {
-				return m, nil
+			if body.TillClose() && !w.wasReset() {
+				return message, nil
 			}
 			return nil, err
 		}
-		for len(in) > 0 && !body.Done {
+		for len(input) > 0 && !body.Done {
 			var data []byte
-			if data, in, err = body.Next(in); err != nil {
+			if data, input, err = body.Next(input); err != nil {
 				return nil, err
 			}
-			m.Body = append(m.Body, data...)
+			message.Body = append(message.Body, data...)
 		}
 	}
-	return m, nil
+	return message, nil
 }
