--- a/cmd/lilacglade/main.go
+++ b/cmd/lilacglade/main.go
@@ -103,7 +103,8 @@
 }
 
 // reloads reads the configuration again at each SIGHUP. One that can't be served changes nothing.
-func reloads(hups <-chan os.Signal, getenv func(string) string, inForce settings.Node) <-chan transport.Reload {
+func reloads(hups <-chan os.Signal, getenv func(string) string,
+	inForce settings.Node) <-chan transport.Reload {
 	out := make(chan transport.Reload)
 	go func() {
 		for range hups {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -8,15 +8,15 @@
 	"lilacglade/internal/reducer"
 )
 
-// readCaller looks for the next request on a caller leg. Requests are taken one at a time. Cut
-// says that the caller had sent more than is read ahead.
+// readClient looks for the next request on a client connection. Requests are processed one at a
+// time. Truncated reports that the client had sent more than is read ahead.
 func (p *proxy) readClient(conn *connection, truncated bool) {
 	if conn.closing {
 		return
 	}
 	if conn.busy {
-		// Guards against a caller that sends on and on without waiting for answers. What it asked
-		// first is still answered.
+		// Limits a client that keeps sending without waiting for responses. Its first request is
+		// still answered.
 		if truncated || conn.parser.Held() > maxPipelinedBytes {
 			conn.discarding.Store(true)
 			p.step(reducer.CallerFlooding{Leg: conn.id})
@@ -59,14 +59,15 @@
 	}
 }
 
-// ask brings a whole request.
+// handleRequest passes on a complete request.
 func (p *proxy) handleRequest(conn *connection, message *http1.Message) {
 	conn.http10, conn.headTime = message.Old, time.Time{}
 	message.Close = message.Close || message.Old
 	p.step(p.parsedRequest(conn, message))
 }
 
-// asked words a request's event. Guards against refusing what was on its way when its class was dropped.
+// parsedRequest returns the event of a request. A request that was on its way when its class was
+// dropped must not be rejected, so classes count as of the time it was read.
 func (p *proxy) parsedRequest(conn *connection, message *http1.Message) reducer.Event {
 	readAt := p.at(conn.lastRead)
 	event := requestEvent(&p.settings, readAt < p.staleClassesUntil, conn.id, message, readAt-conn.requestDelay)
@@ -77,7 +78,7 @@
 	return event
 }
 
-// upload begins to pass on a request whose body is large.
+// startUpload starts to stream a request whose body is large.
 func (p *proxy) startUpload(conn *connection) {
 	conn.busy = true
 	conn.requestPending.Store(true)
@@ -88,17 +89,19 @@
 		return
 	}
 	closeAfter := message.Close || message.Old
-	message.Close = true // nothing that is answered before its end can be followed by another request
+	message.Close = true // no other request can follow one that is answered before its end
 	conn.http10, conn.headTime = message.Old, time.Time{}
 	event := p.parsedRequest(conn, message)
 	if request, ok := event.(reducer.CallerAsked); ok {
-		stream := &bodyStream{message: message, source: conn, length: body.Known(), buffers: p.buffers, isUpload: true, body: body}
+		stream := &bodyStream{message: message, source: conn, length: body.Known(),
+			buffers: p.buffers, isUpload: true, body: body}
 		conn.streaming = true
 		remaining := stream.length - body.Came()
 		if stream.length < 0 {
 			remaining = http1.MaxLarge
 		}
-		request.Stream, request.May, request.Last, request.Payload = true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
+		request.Stream, request.May, request.Last, request.Payload =
+			true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
 		request.Deadline += uploadPauseBudget + time.Duration(remaining)*time.Second/minUploadRate
 		event = request
 	}
--- a/internal/transport/clock_test.go
+++ b/internal/transport/clock_test.go
@@ -9,17 +9,17 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// TestOverdue guards against a time-out of 0, which the library takes for none: what is over is not begun,
-// and nobody waits for it without end.
+// TestPassedDeadline checks that an operation whose deadline has passed is not begun. The library
+// takes a timeout of 0 for none, so such a call would wait without end.
 func TestPassedDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	for _, within := range []time.Duration{0, -time.Second} {
-		if _, err := dial(ln.Addr().String(), within); !errors.Is(err, errDeadlinePassed) {
-			t.Errorf("dial within %v: %v", within, err)
+	for _, timeout := range []time.Duration{0, -time.Second} {
+		if _, err := dial(ln.Addr().String(), timeout); !errors.Is(err, errDeadlinePassed) {
+			t.Errorf("dial within %v: %v", timeout, err)
 		}
 	}
 	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
@@ -28,21 +28,21 @@
 	}
 	defer conn.Close()
 	if err := awaitReadable(conn, 0); !errors.Is(err, errDeadlinePassed) {
-		t.Errorf("await within 0: %v", err)
+		t.Errorf("awaitReadable within 0: %v", err)
 	}
 	if err := flush(conn, 0); !errors.Is(err, errDeadlinePassed) {
 		t.Errorf("flush within 0: %v", err)
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := awaitReadable(conn, 20*time.Millisecond); !errors.Is(err, netpoll.ErrReadTimeout) {
-		t.Errorf("await: %v", err)
+		t.Errorf("awaitReadable: %v", err)
 	}
-	if took := time.Since(began); took < 20*time.Millisecond {
-		t.Errorf("waited %v", took)
+	if elapsed := time.Since(start); elapsed < 20*time.Millisecond {
+		t.Errorf("waited %v", elapsed)
 	}
 }
 
-// TestClock holds that a moment and the span until it belong together.
+// TestClock checks that now and until agree.
 func TestClock(t *testing.T) {
 	c := newClock()
 	if now := c.now(); now < clockOrigin || c.uptime() > testTimeout {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,66 +15,68 @@
 	"lilacglade/internal/transient"
 )
 
-// leg is one connection, to a caller or to a next hop.
+// connection is one connection, to a client or to a server.
 type connection struct {
 	id          reducer.LegID
 	isClient    bool
 	inbox       *inbox
 	clock       clock
-	socket      netpollConn  // nil until a dialed leg is open
+	socket      netpollConn  // nil until a dialed connection is open
 	queuedBytes atomic.Int64 // bytes on their way to the reducer's goroutine
-	discarding  atomic.Bool  // what still comes is dropped when it is read
+	discarding  atomic.Bool  // input is dropped when it is read
 
 	// Owned by the reducer's goroutine.
 	parser                  http1.Parser
-	lastRead                time.Time     // when the last bytes came in
-	requestDelay            time.Duration // caller: how long before that its request may have come
-	busy                    bool          // caller: a request is being worked on or answered; hop: an answer is owed
-	closing                 bool          // nothing more is taken from it
-	responseStarted         bool          // hop: the reducer knows that an answer of unknown length has begun
-	interimResponses        int           // hop: 1xx answers before the one that counts
-	isDetached, readPending bool          // raw: see raw.go
-	streaming               bool          // raw: its bytes are read for a flow
-	http10                  bool          // caller: what it asked last was HTTP/1.0
-	headTime                time.Time     // caller: when the head came of the request that is coming in; zero: not yet
-	requestID               string        // caller: the id of the request that it asked last
-	upload                  *bodyStream   // hop: the upload that is on it
+	lastRead                time.Time     // when the last bytes were read
+	requestDelay            time.Duration // client: how long before lastRead its request may have arrived
+	busy                    bool          // client: a request is pending; server: a response is pending
+	closing                 bool          // no more input is accepted
+	responseStarted         bool          // server: a response of unknown length has started and was reported
+	interimResponses        int           // server: 1xx responses before the final one
+	isDetached, readPending bool          // readPending: readNext is reading; see detached.go
+	streaming               bool          // detached: a bodyStream reads its bytes
+	http10                  bool          // client: its last request was HTTP/1.0
+	headTime                time.Time     // client: when the incoming request's head was read; zero: not yet
+	requestID               string        // client: the id of its last request
+	upload                  *bodyStream   // server: the upload that is being written to it
 
 	// Set before the first event.
-	waitingSince time.Time // caller: it may have waited since then to be accepted; zero: it has not
-	acceptedAt   time.Time // and was then
+	waitingSince time.Time // client: it may have waited since then to be accepted; zero: it has not
+	acceptedAt   time.Time // client: when it was accepted
 
-	pollerClosed   atomic.Bool // the poller has ended the library's connection
-	requestPending atomic.Bool // caller: as busy, for the poller's goroutines
-	bufferedBytes  int         // bytes in the library's buffer; of the goroutine that writes
-	onClosed       func()      // its descriptor is free again
+	pollerClosed   atomic.Bool // the poller has closed the library's connection
+	requestPending atomic.Bool // client: same as busy, for the poller's goroutines
+	bufferedBytes  int         // bytes in the library's buffer; owned by the goroutine that writes
+	onClosed       func()      // called once its descriptor is free again
 	closeOnce      sync.Once
 
 	mu              sync.Mutex
-	buffersFreed    bool // the library's buffers are no longer to be touched
+	buffersFreed    bool // the library's buffers must not be touched any more
 	detachRequested bool // it is to be detached from the library, or has been
 	detaching       bool // it is being detached
-	closedLocally   bool // it was closed here
+	closedLocally   bool // it was closed by this process
 	stdConn         net.Conn
-	stdConnReady    chan struct{} // closed once raw is set, or could not be
+	stdConnReady    chan struct{} // closed once stdConn is set, or could not be
 	writing         bool
 	jobs            []writeJob
 }
 
-// maxUnread is the largest message that is read, in any framing.
+// maxQueuedBytes is the size of the largest message that is read, in any framing.
 const maxQueuedBytes = http1.MaxHead + http1.MaxBody
 
-// job is one gathered write.
+// writeJob is one gathered write, or another action in the order of the writes.
 type writeJob struct {
 	buffers  [][]byte
 	deadline time.Duration // on the proxy's clock
-	report   bool          // post the end of it
-	detach   bool          // detach the leg in place of writing
-	stream   func()        // pass a flow on in place of writing
-	tooLate  func() bool   // asked just before: it is too late to begin, and that was posted; nil: it never is
+	report   bool          // post a written item at the end
+	detach   bool          // detach the connection instead of writing
+	stream   func()        // stream a body instead of writing
+	// tooLate is called just before writing; nil: it is never too late. If it returns true, the write is
+	// skipped, and an item that reports so was posted.
+	tooLate func() bool
 }
 
-// attach hooks a leg into its connection. It must come before OnRequest is set.
+// attach installs the callbacks of a connection's socket. It must be called before SetOnRequest.
 func (c *connection) attach(socket netpoll.Connection, onClosed func()) {
 	c.socket, c.onClosed, c.stdConnReady = socket, onClosed, make(chan struct{})
 	if notifier, ok := socket.(interface {
@@ -88,11 +90,13 @@
 	})
 }
 
-// onRequest takes all bytes that have come. netpoll calls it again at once for as long as any
-// are left, so a partial message must not stay behind in its buffer; and what it returns is
-// only valid until Release, hence the copy. Guards against a sender that is faster than the reducer: who
-// has more than the largest whole message on its way is read from no more until there is room; a caller who
-// sends that much ahead is not worth it, and the rest is dropped.
+// onRequest reads all available bytes. netpoll calls it again at once for as long as any are left,
+// so a partial message must not stay in its buffer. The bytes are valid only until Release, hence
+// the copy.
+//
+// A sender that is faster than the reducer must not fill the memory. A connection with more than the
+// largest whole message on its way to the reducer is not read until there is headroom. If a client
+// sends that much ahead while its request is pending, the rest is dropped.
 func (c *connection) onRequest(_ context.Context, socket netpoll.Connection) error {
 	readAt := time.Now()
 	reader := socket.Reader()
@@ -121,7 +125,8 @@
 	truncated := available > len(data) && !c.discarding.Swap(true)
 	if truncated || len(data) > 0 {
 		c.queuedBytes.Add(int64(len(data)))
-		c.inbox.post(bytesIn{conn: c, data: data, truncated: truncated, readAt: readAt, delay: c.acceptDelay(readAt)})
+		c.inbox.post(bytesIn{conn: c, data: data, truncated: truncated, readAt: readAt,
+			delay: c.acceptDelay(readAt)})
 	}
 	if overflow && !truncated && !c.discarding.Load() {
 		c.requestDetach(true)
@@ -129,11 +134,12 @@
 	return nil
 }
 
-// thereAtOnce is how soon after a connection is accepted bytes are read that had come before.
+// immediateDataWindow is how soon after a connection was accepted bytes are read that had arrived
+// before.
 const immediateDataWindow = 50 * time.Millisecond
 
-// lateness is how long before they were read bytes may have come. Guards against time that a caller has
-// spent waiting to be accepted, while accepting failed, and that would be told to a server as left.
+// acceptDelay returns how long before they were read bytes may have arrived: while accepting failed, the
+// client had to wait. Otherwise that time would be reported to a server as still left.
 func (c *connection) acceptDelay(readAt time.Time) time.Duration {
 	if c.waitingSince.IsZero() || readAt.Sub(c.acceptedAt) > immediateDataWindow {
 		return 0
@@ -141,8 +147,9 @@
 	return readAt.Sub(c.waitingSince)
 }
 
-// write has the slices written in order, after what was asked for before. It never waits:
-// netpoll's Flush does when the other side doesn't read, so it runs on a goroutine of its own.
+// write queues the buffers to be written in order, after the writes queued before. It never waits:
+// netpoll's Flush does when the other side doesn't read, so the writes run on a goroutine of their
+// own.
 func (c *connection) write(job writeJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,6 +159,7 @@
 	}
 }
 
+// writeLoop runs the queued jobs in order and ends when none is left.
 func (c *connection) writeLoop() {
 	for {
 		c.mu.Lock()
@@ -180,13 +188,15 @@
 	}
 }
 
-// fit tells whether a hop leg can carry a request: it is open, and nothing has come on it that
-// the next request could take for its answer, neither here, nor on the way here, nor unread.
+// usable reports whether a server connection can carry a request: it is open, and nothing has
+// arrived on it that the next request could take for its response, neither in the parser nor on its
+// way there nor unread.
 func (c *connection) usable() bool {
 	return !c.discarding.Load() && c.idle()
 }
 
-// quiet tells whether a leg is open and nothing has come on it that was not taken as part of a message.
+// idle reports whether a connection is open and nothing has arrived on it that is not part of a
+// complete message.
 func (c *connection) idle() bool {
 	if c.parser.Partial() || c.queuedBytes.Load() > 0 {
 		return false
@@ -205,7 +215,7 @@
 	return err == syscall.EAGAIN
 }
 
-// part ends sending; the other side reads what was sent and then the end.
+// closeWrite ends sending; the other side reads what was sent and then the end.
 func (c *connection) closeWrite() {
 	c.closing = true
 	c.discarding.Store(true)
@@ -219,23 +229,25 @@
 		return
 	}
 	if descriptor, ok := c.socket.(netpoll.Conn); ok && !c.buffersFreed {
-		_ = syscall.Shutdown(descriptor.Fd(), syscall.SHUT_WR) // a leg that broke meanwhile says so itself
+		// A connection that broke meanwhile is reported by its own callback.
+		_ = syscall.Shutdown(descriptor.Fd(), syscall.SHUT_WR)
 	}
 }
 
-// abort has a leg reset once it is closed. Guards against a caller that takes what it got for all of an
-// answer that ends with its connection.
+// resetOnClose has a connection reset once it is closed. Otherwise a client would take a truncated
+// body that is delimited by the end of the connection for a complete one.
 func (c *connection) resetOnClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if tcpConn, ok := c.stdConn.(*net.TCPConn); ok {
-		_ = tcpConn.SetLinger(0) // one that broke meanwhile was reset, or tells nobody anything any more
+		_ = tcpConn.SetLinger(0) // a connection that broke meanwhile was reset, or nobody reads it any more
 	} else if descriptor, ok := c.socket.(netpoll.Conn); ok && !c.buffersFreed {
-		_ = syscall.SetsockoptLinger(descriptor.Fd(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
+		_ = syscall.SetsockoptLinger(descriptor.Fd(), syscall.SOL_SOCKET, syscall.SO_LINGER,
+			&syscall.Linger{Onoff: 1})
 	}
 }
 
-// close ends a leg, open or not.
+// close closes a connection, open or not.
 func (c *connection) close() {
 	c.closing = true
 	c.discarding.Store(true)
@@ -251,7 +263,7 @@
 	}
 }
 
-// dial opens a leg by the given time.
+// dial opens a connection to a server before the deadline.
 func (c *connection) dial(address string, deadline time.Duration) {
 	socket, err := dial(address, c.clock.until(deadline))
 	if err != nil {
@@ -261,11 +273,11 @@
 	c.inbox.post(dialed{conn: c, socket: socket})
 }
 
-// open makes a dialed leg ready. It is called by the reducer's goroutine, so that closing it
-// can't cross with its opening.
+// open makes a dialed connection ready. The reducer's goroutine calls it, so that closing a
+// connection can't race with opening it.
 func (c *connection) open(socket netpoll.Connection) bool {
-	// Guards against the library's reading megabytes ahead before a leg can be paused: it reads what the
-	// kernel holds.
+	// The library reads whatever the kernel holds. Without this limit it would read megabytes ahead
+	// before a connection can be paused.
 	if descriptor, ok := socket.(netpoll.Conn); ok {
 		_ = syscall.SetsockoptInt(descriptor.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize)
 	}
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -17,24 +17,24 @@
 	"lilacglade/internal/reducer"
 )
 
-// far only ends a test that hangs.
+// testTimeout only ends a test that hangs.
 const testTimeout = time.Minute
 
-// TestClosingWhileWriting guards against filling a write buffer that the library is freeing:
-// each write reports exactly once, and so does the end of the leg, however they cross.
+// TestClosingWhileWriting checks that no write buffer is filled while the library frees it. Each
+// write reports exactly once, and so does the end of the connection, in whatever order they happen.
 func TestClosingWhileWriting(t *testing.T) {
 	ln, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop, err := netpoll.NewEventLoop(func(_ context.Context, accepted netpoll.Connection) error {
-		return accepted.Close() // so that legs break from the other side, too
+		return accepted.Close() // so that connections are closed from the other side, too
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go loop.Serve(ln)
-	buffers := make([][]byte, 500) // filling in so many takes a while
+	buffers := make([][]byte, 500) // filling that many takes a while
 	for i := range buffers {
 		buffers[i] = make([]byte, 100)
 	}
@@ -42,8 +42,8 @@
 		inbox := newInbox()
 		conn := &connection{inbox: inbox, clock: newClock(), parser: http1.Parser{Responses: true}}
 		socket, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
-		// The library's race build finds a connection by its descriptor, and takes the end of the last one for
-		// that of a new one with the same number.
+		// The library's race build identifies a connection by its descriptor, and takes the end of
+		// the last one for that of a new one with the same number.
 		for tries := 0; err != nil && tries < 9; tries++ {
 			socket, err = netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// hop returns an open hop leg and the other side of it.
+// openServerConn returns an open server connection and the other side of it.
 func openServerConn(t *testing.T) (*connection, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,8 +103,9 @@
 	return conn, other
 }
 
-// TestUnfitLegs guards against writing a request on a hop leg where something has come that the
-// request would take for its answer, wherever that is on its way, or that the other side ended.
+// TestUnusableServerConnections checks that no request is written on a server connection that the
+// other side has closed, or where data has arrived that the request would take for its response,
+// wherever that data is on its way.
 func TestUnusableServerConnections(t *testing.T) {
 	for name, disturb := range map[string]func(net.Conn){
 		"noise": func(peer net.Conn) { peer.Write([]byte("x")) },
@@ -112,59 +113,59 @@
 	} {
 		conn, other := openServerConn(t)
 		if !conn.usable() {
-			t.Fatalf("%s: unfit from the start", name)
+			t.Fatalf("%s: unusable from the start", name)
 		}
 		disturb(other)
 		for end := time.Now().Add(testTimeout); conn.usable(); {
 			if time.Now().After(end) {
-				t.Fatalf("%s: still fit", name)
+				t.Fatalf("%s: still usable", name)
 			}
 		}
 	}
 }
 
-// TestReadAheadIsBounded guards against a caller that is faster than the reducer while its request is
-// in work: what waits stays within one message, and it is told once that the rest was dropped.
+// TestReadAheadIsLimited covers a client that sends faster than the reducer reads while its request
+// is pending: the queued bytes stay within one message, and the drop of the rest is reported once.
 func TestReadAheadIsLimited(t *testing.T) {
 	conn, other := openServerConn(t)
 	conn.requestPending.Store(true)
 	sent := make([]byte, 8*maxQueuedBytes)
-	if _, err := other.Write(sent); err != nil { // all is read, though nobody takes it
+	if _, err := other.Write(sent); err != nil { // everything is read, though nobody handles it
 		t.Fatal(err)
 	}
 	other.Close()
-	cuts, got := 0, 0
+	truncations, got := 0, 0
 	for ended := false; !ended; {
 		<-conn.inbox.wake
 		for _, item := range conn.inbox.takeAll(nil) {
 			switch item := item.(type) {
 			case bytesIn:
 				if got += len(item.data); item.truncated {
-					cuts++
+					truncations++
 				}
 			case connClosed:
 				ended = true
 			}
 		}
 	}
-	if cuts != 1 || got > maxQueuedBytes {
-		t.Errorf("%d bytes kept, told %d times", got, cuts)
+	if truncations != 1 || got > maxQueuedBytes {
+		t.Errorf("%d bytes kept, truncation reported %d times", got, truncations)
 	}
 }
 
-// TestReadingPauses guards against keeping in memory what comes faster than it is taken: a leg that
-// brings much is read from no more, its sender has to wait, and nothing of it is lost.
+// TestReadingPauses checks that input that arrives faster than it is handled is not kept in memory:
+// the connection is paused, its sender has to wait, and no byte is lost.
 func TestReadingPauses(t *testing.T) {
 	conn, other := openServerConn(t)
 	const all = 256 << 20
 	sent := make(chan error, 1)
 	go func() {
-		b := make([]byte, 1<<20)
-		for i := range b {
-			b[i] = byte(i % 251)
+		block := make([]byte, 1<<20)
+		for i := range block {
+			block[i] = byte(i % 251)
 		}
 		for range all >> 20 {
-			if _, err := other.Write(b); err != nil {
+			if _, err := other.Write(block); err != nil {
 				sent <- err
 				return
 			}
@@ -181,7 +182,7 @@
 			case detached:
 				paused = true
 			case connClosed:
-				t.Fatal("broken")
+				t.Fatal("the connection was closed")
 			}
 		}
 	}
@@ -193,8 +194,8 @@
 	if n, err := io.ReadFull(conn.stdConn, got[before:]); err != nil {
 		t.Fatal(n, err)
 	}
-	for i, b := range got {
-		if b != byte(i%(1<<20)%251) {
+	for i, block := range got {
+		if block != byte(i%(1<<20)%251) {
 			t.Fatalf("byte %d of %d lost", i, before)
 		}
 	}
@@ -204,7 +205,8 @@
 	}
 }
 
-// TestListenerTurnsAway guards against running out of descriptors.
+// TestListenerRejectsAboveLimit checks that the listener closes connections beyond its limit.
+// Otherwise descriptors would run out.
 func TestListenerRejectsAboveLimit(t *testing.T) {
 	socket, err := netpoll.CreateListener("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -233,12 +235,13 @@
 	}
 }
 
+// TestLoadReports checks both names of each value, unknown names and malformed reports.
 func TestLoadReports(t *testing.T) {
 	names := []lg.LoadField{lg.LoadInFlight, lg.LoadLatency}
 	tests := map[string]lg.LoadReport{
 		"latency_ms=12.5,inflight=7":       {N: 2, Values: [4]float64{7, 12.5}},
 		"inflight=7, latency_ms=12, new=1": {N: 2, Values: [4]float64{7, 12}},
-		"rif=7.25,lat_ms=12":               {N: 2, Values: [4]float64{7.25, 12}}, // as the settings name them
+		"rif=7.25,lat_ms=12":               {N: 2, Values: [4]float64{7.25, 12}}, // the names of the settings
 		"inflight=7":                       {},
 		"inflight=many,latency_ms=1":       {},
 		"":                                 {},
@@ -250,15 +253,16 @@
 	}
 }
 
+// TestRetryAfterIsInSeconds checks the Retry-After field of a rejection, which has fractions of a second.
 func TestRetryAfterIsInSeconds(t *testing.T) {
 	tests := map[time.Duration]string{time.Second: "1", 250 * time.Millisecond: "0.250", 0: ""}
 	for advice, want := range tests {
-		var p http1.Parser
-		p.Responses = true
-		for _, b := range encodeAnswer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
-			p.Feed(append([]byte(nil), b...))
+		var parser http1.Parser
+		parser.Responses = true
+		for _, part := range encodeAnswer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
+			parser.Feed(append([]byte(nil), part...))
 		}
-		message, err := p.Next()
+		message, err := parser.Next()
 		if err != nil || message.Status != 503 || string(message.Get("Retry-After")) != want {
 			t.Errorf("%v: got %+v, %v", advice, message, err)
 		}
--- a/internal/transport/detached.go
+++ b/internal/transport/detached.go
@@ -17,16 +17,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// The library reads whatever comes, as fast as it comes. A leg that brings more than that is detached
-// from it and goes on as an ordinary connection, from which only what there is room for is read: it is
-// raw.
+// The library reads whatever arrives, as fast as it arrives. A connection that brings more than can
+// be processed is detached from it: it goes on as a connection of the standard library, from which
+// only as much is read as there is headroom for.
 
-// pullSize is what is read from a raw leg at a time.
+// readSize is the number of bytes that are read from a detached connection at a time.
 const readSize = 16 << 10
 
-// The library runs one poller. What it has read calls for the leg's handler, which is run before the
-// poller goes on. Guards against a poller that reads megabytes from a fast sender before a handler gets
-// to pause it.
+// The library runs one poller. After a read it starts the connection's handler, which gets to run
+// before the poller goes on. Otherwise the poller could read megabytes from a fast sender before a
+// handler pauses it.
 func init() {
 	_ = netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: func(_ context.Context, handle func()) {
 		go handle()
@@ -34,17 +34,17 @@
 	}})
 }
 
-// barrier tells when the poller is done with the events that it was handling.
+// barrier waits until the poller has finished the events that it was handling.
 type barrier struct {
 	mu   sync.Mutex
 	conn netpoll.Connection // nil until it is first needed
-	fd   int                // writing here is an event of conn
+	fd   int                // a write to it is an event of conn
 	done chan struct{}
 }
 
 var pollerBarrier barrier
 
-// wait returns once the poller handles events that came after the call.
+// wait returns once the poller handles events that arrived after the call.
 func (b *barrier) wait() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// pause detaches a leg from the library, behind what is being written on it. Its bytes that were read by
-// then come first, then detached.
+// requestDetach detaches a connection from the library, after the writes that are queued on it. The
+// bytes that were read until then are posted first, then detached.
 func (c *connection) requestDetach(inHandler bool) {
 	c.mu.Lock()
 	if c.detachRequested || c.buffersFreed {
@@ -89,25 +89,27 @@
 		return
 	}
 	c.mu.Unlock()
-	if inHandler { // what follows waits until the handler is through
+	if inHandler { // what follows waits until the handler returns
 		c.detach()
 		return
 	}
 	go c.detach()
 }
 
+// detach has the library close its side of the connection; onSocketClosed does the rest.
 func (c *connection) detach() {
 	c.mu.Lock()
 	c.detaching = true
 	c.mu.Unlock()
-	_ = c.socket.Close() // ended, which it calls, keeps a descriptor of the connection
+	_ = c.socket.Close() // onSocketClosed, which it calls, keeps a duplicate of the descriptor
 }
 
-// ended is the library's last call for a connection: it has closed it, or it was detached.
+// onSocketClosed is the library's last callback for a connection: the library has closed it, or it
+// was detached.
 func (c *connection) onSocketClosed(socket netpoll.Connection) {
-	// Guards against losing what the poller reads at this moment: it was told that it has nothing to do
-	// with the connection any more, but may still be handling an event of it, unless it has ended it
-	// itself.
+	// The poller may still be handling an event of the connection although it was unregistered,
+	// unless the poller has closed the connection itself. Without the barrier the bytes that it
+	// reads at this point would be lost.
 	c.mu.Lock()
 	detaching := c.detaching && !c.closedLocally
 	c.mu.Unlock()
@@ -116,14 +118,13 @@
 	}
 	if detaching && !c.pollerClosed.Load() {
 		if err := pollerBarrier.wait(); err != nil {
-			log.Printf("a leg can't be detached: %v", err)
+			log.Printf("a connection can't be detached: %v", err)
 			c.close()
 		}
 	}
 	descriptor, ok := socket.(netpoll.Conn)
 	reset := !ok || wasReset(descriptor.Fd())
-	// The library frees its buffers right after this: guards against a writer that is filling them at
-	// that moment.
+	// The library frees its buffers right after this: no writer may be filling them then.
 	c.mu.Lock()
 	c.buffersFreed = true
 	var err error
@@ -148,24 +149,25 @@
 	c.inbox.post(detached{c})
 }
 
-// unregister has the library's poller look at a connection no more. Guards against a connection that was
-// closed here in the moment in which its handler returned: the library (0.7.2, onProcess) takes it for one
-// that its poller ended, and leaves it registered. To close its descriptor would put that right, but the
-// file lives on in the one that own makes, and what happens on it would be told to the next connection that
-// gets its operator. The library has no call for it, so the operator is read from its field; a second time
-// it does nothing.
+// unregister removes a connection from the library's poller. A connection that was closed here
+// while its handler returned stays registered: the library (0.7.2, onProcess) assumes that its
+// poller closed it. Closing the descriptor doesn't help since duplicateConn keeps the file open,
+// and events on that file would be delivered to the next connection that gets the same operator.
+// The library has no call for this, so the operator is read from its field; a second removal does
+// nothing.
 func unregister(socket netpoll.Connection) {
 	operator := reflect.Indirect(reflect.ValueOf(socket)).FieldByName("operator")
 	if !operator.IsValid() || operator.Type() != reflect.TypeFor[*netpoll.FDOperator]() {
-		log.Printf("the library has changed: a detached leg may still be looked at")
+		log.Printf("netpoll has changed: a detached connection may still be registered with its poller")
 		return
 	}
 	if err := (*netpoll.FDOperator)(operator.UnsafePointer()).Control(netpoll.PollDetach); err != nil {
-		log.Printf("a leg can't be detached: %v", err)
+		log.Printf("a connection can't be detached: %v", err)
 	}
 }
 
-// own makes an ordinary connection of the library's, which then closes its own descriptor only.
+// duplicateConn makes a standard library connection from one of the library, which then closes only
+// its own descriptor.
 func duplicateConn(socket netpoll.Connection) (net.Conn, error) {
 	descriptor, ok := socket.(netpoll.Conn)
 	if !ok {
@@ -176,15 +178,16 @@
 		return nil, errno
 	}
 	file := os.NewFile(fd, "leg")
-	defer file.Close() // the connection gets one more, of its own
+	defer file.Close() // FileConn duplicates the descriptor again
 	return net.FileConn(file)
 }
 
-// over tells, once, that a leg's descriptor is free again.
+// releaseDescriptor reports, once, that a connection's descriptor is free again.
 func (c *connection) releaseDescriptor() { c.closeOnce.Do(c.onClosed) }
 
-// pull reads the next bytes of a raw leg, on a goroutine of its own, unless that is under way or the leg is
-// being read for a stream. What comes is posted, and nothing more is read until it was looked at.
+// readNext reads the next bytes of a detached connection on a goroutine of its own, unless a read
+// is pending or a bodyStream reads the connection. The bytes are posted, and nothing more is read
+// until they were handled.
 func (c *connection) readNext() {
 	if !c.isDetached || c.readPending || c.streaming || c.closing {
 		return
@@ -194,7 +197,7 @@
 	go func() {
 		buffer := make([]byte, readSize)
 		n, err := c.stdConn.Read(buffer)
-		if n > 0 || errors.Is(err, os.ErrDeadlineExceeded) { // hush sets one
+		if n > 0 || errors.Is(err, os.ErrDeadlineExceeded) { // interruptRead sets a deadline
 			c.queuedBytes.Add(int64(n))
 			c.inbox.post(bytesIn{conn: c, data: buffer[:n], readAt: time.Now(), fromDetached: true})
 			return
@@ -205,16 +208,16 @@
 	}()
 }
 
-// wasReset tells whether a connection on which nothing more comes was reset, not ended by the other side in
-// good order. Guards against an answer without length that is taken for whole where it was cut off: whoever
-// reads first takes the error, and every read after it finds an end. The kernel still knows the peer of a
-// connection that was ended, and none of one that was reset.
+// wasReset reports whether a connection that has no more input was reset instead of closed in good
+// order. The first reader of a reset gets the error, and every read after it an end of file, so a
+// truncated response without length could be taken for a complete one. The kernel still knows the
+// peer of a connection that was closed, but not of one that was reset.
 func wasReset(fd int) bool {
 	_, err := syscall.Getpeername(fd)
 	return err != nil
 }
 
-// rawReset is wasReset of a raw connection.
+// stdConnReset is wasReset of a detached connection.
 func stdConnReset(conn net.Conn) bool {
 	reset := true
 	if rawConn, err := conn.(syscall.Conn).SyscallConn(); err == nil {
@@ -223,7 +226,8 @@
 	return reset
 }
 
-// rawLeft tells whether the other side of a raw connection has ended it, whatever of it is still unread.
+// stdConnHungUp reports whether the other side of a detached connection has closed it, even if
+// input is still unread.
 func stdConnHungUp(conn net.Conn) (hungUp bool) {
 	rawConn, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -233,8 +237,8 @@
 	return hungUp
 }
 
-// left tells whether a caller has ended its connection, whatever of it is still unread. The poller tells the
-// same, but later: it is asked just before an attempt is sent.
+// hungUp reports whether a client has closed its connection, even if input is still unread. The
+// poller reports the same, but later: this is checked just before an attempt is sent.
 func (c *connection) hungUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,15 +249,15 @@
 	return !ok || c.buffersFreed || peerHungUp(descriptor.Fd())
 }
 
-// hungUp tells whether the other side of a connection has ended it.
+// peerHungUp reports whether the other side of a connection has closed it.
 func peerHungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// rawQuiet tells whether a raw connection is open and nothing has come on it. It stands apart so that
-// the byte that it looks at is on the heap for raw legs only.
+// stdConnIdle reports whether a detached connection is open and nothing has arrived on it. It is a
+// function of its own so that its buffer is allocated on the heap for detached connections only.
 func stdConnIdle(conn net.Conn) bool {
 	var b [1]byte
 	err := error(syscall.EBADF)
@@ -265,20 +269,21 @@
 	return err == syscall.EAGAIN
 }
 
-// hush ends a pull that waits: it brings what it has, perhaps nothing.
+// interruptRead ends a pending read: it returns what it has, possibly nothing.
 func (c *connection) interruptRead() {
 	if c.readPending {
 		_ = c.stdConn.SetReadDeadline(pastDeadline())
 	}
 }
 
-// drain reads and forgets what still comes on a raw leg that was parted, until it is closed.
+// discardInput reads and drops what still arrives on a detached connection after closeWrite, until
+// it is closed.
 func (c *connection) discardInput() {
 	_ = c.stdConn.SetReadDeadline(time.Time{})
 	buffer := make([]byte, readSize)
 	for {
 		if _, err := c.stdConn.Read(buffer); errors.Is(err, os.ErrDeadlineExceeded) {
-			_ = c.stdConn.SetReadDeadline(time.Time{}) // it was set for a flow that was stopped
+			_ = c.stdConn.SetReadDeadline(time.Time{}) // it was set for a stream that was stopped
 		} else if err != nil {
 			c.inbox.post(connClosed{c, true})
 			return
--- a/internal/transport/detached_test.go
+++ b/internal/transport/detached_test.go
@@ -10,32 +10,33 @@
 	"testing"
 )
 
-// registrations counts how often the connection is looked at by any of this process's pollers, the
-// runtime's own included.
-func registrations(t *testing.T, conn net.Conn) (n int) {
+// registrations counts how often the connection is registered with any of this process's pollers,
+// the runtime's own included.
+func registrations(t *testing.T, conn net.Conn) (count int) {
 	t.Helper()
-	var st syscall.Stat_t
-	raw, err := conn.(syscall.Conn).SyscallConn()
+	var stat syscall.Stat_t
+	rawConn, err := conn.(syscall.Conn).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { err = syscall.Fstat(int(fd), &st) })
+		err = rawConn.Control(func(fd uintptr) { err = syscall.Fstat(int(fd), &stat) })
 	}
-	all, readErr := os.ReadDir("/proc/self/fdinfo")
+	entries, readErr := os.ReadDir("/proc/self/fdinfo")
 	if err = errors.Join(err, readErr); err != nil {
 		t.Fatal(err)
 	}
-	ino := fmt.Sprintf(" ino:%x ", st.Ino)
-	for _, e := range all {
-		info, err := os.ReadFile("/proc/self/fdinfo/" + e.Name())
+	ino := fmt.Sprintf(" ino:%x ", stat.Ino)
+	for _, entry := range entries {
+		info, err := os.ReadFile("/proc/self/fdinfo/" + entry.Name())
 		if err == nil { // else it was closed meanwhile
-			n += strings.Count(string(info), ino)
+			count += strings.Count(string(info), ino)
 		}
 	}
-	return n
+	return count
 }
 
-// TestDetachedForGood guards against a leg that the library's poller still looks at once it is raw, by a
-// pointer to what then stands for another connection: that one is closed when the raw one ends. It comes of
-// detaching a leg in the moment in which its handler returns.
+// TestDetachUnregistersFromPoller checks that the library's poller no longer watches a connection
+// once it is detached. Otherwise it keeps a pointer to what then belongs to another connection, and
+// closes that one when the detached one ends. It happens if a connection is detached while its
+// handler returns.
 func TestDetachUnregistersFromPoller(t *testing.T) {
 	for round := range 400 {
 		conn, other := openServerConn(t)
@@ -46,8 +47,8 @@
 		}
 		conn.requestDetach(false)
 		<-conn.stdConnReady
-		if n := registrations(t, conn.stdConn); n != 1 {
-			t.Fatalf("round %d: looked at by %d pollers", round, n)
+		if count := registrations(t, conn.stdConn); count != 1 {
+			t.Fatalf("round %d: registered with %d pollers", round, count)
 		}
 		other.Close()
 	}
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -8,7 +8,7 @@
 	"lilacglade/internal/reducer"
 )
 
-// step hands the reducer an event and carries out what it asks for.
+// step passes an event to the reducer and executes the effects that it returns.
 func (p *proxy) step(event reducer.Event) {
 	wallTime := time.Now()
 	now := p.at(wallTime)
@@ -18,6 +18,7 @@
 	}
 }
 
+// execute carries out one effect.
 func (p *proxy) execute(effect reducer.Effect) {
 	switch effect.Do {
 	case reducer.AnswerCaller:
@@ -26,7 +27,8 @@
 			conn.requestPending.Store(true)
 			if stream, ok := effect.Payload.(*bodyStream); ok && effect.Verdict == reducer.Served {
 				stream.http10 = conn.http10
-				conn.write(p.streamJob(stream, conn, stream.message.BackHead(fieldLoad, stream.length, stream.http10, effect.Last)))
+				conn.write(p.streamJob(stream, conn, stream.message.BackHead(fieldLoad, stream.length,
+					stream.http10, effect.Last)))
 				return
 			}
 			p.observer.recordUnserved(conn, effect, p.now())
@@ -89,8 +91,8 @@
 	}
 }
 
-// forward has a request written to a server, unless that can't be done well any more: then the reducer hears
-// of it, in the order of events.
+// forward has a request written to a server. If the connection became unusable or the client has
+// left, it posts that to the reducer instead, in the order of events.
 func (p *proxy) forward(conn *connection, effect reducer.Effect) {
 	if !conn.usable() {
 		p.inbox.post(connUnusable{conn})
@@ -111,10 +113,11 @@
 		return
 	}
 	buffers := effect.Payload.(*http1.Message).Forward(fieldTimeout, timeout)
-	conn.write(writeJob{buffers: buffers, deadline: effect.At, report: true, tooLate: p.tooLateCheck(effect, written{conn: conn})})
+	conn.write(writeJob{buffers: buffers, deadline: effect.At, report: true,
+		tooLate: p.tooLateCheck(effect, written{conn: conn})})
 }
 
-// watch has discovery asked.
+// watch sends a call to discovery.
 func (p *proxy) watch(effect reducer.Effect) {
 	if p.watcher == nil || p.watcher.address != effect.Text || effect.Anew {
 		if p.watcher != nil {
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -11,7 +11,7 @@
 	"lilacglade/internal/reducer"
 )
 
-// take turns an item into the reducer's events.
+// handleItem turns an inbox item into events of the reducer.
 func (p *proxy) handleItem(item any) {
 	switch item := item.(type) {
 	case accepted:
@@ -97,7 +97,7 @@
 	case reloaded:
 		node := item.reload.Node
 		if item.reload.Err != nil {
-			log.Printf("reload: %v; the configuration stays as it was", item.reload.Err)
+			log.Printf("reload: %v; the configuration is unchanged", item.reload.Err)
 			p.step(reducer.ReloadFailed{})
 			return
 		}
@@ -123,13 +123,15 @@
 	case overlapEnded:
 		p.applyLimits()
 	case stopping:
-		p.listener.closed.Store(p.socketShared) // where nobody else takes them, callers still come for a while
+		// Where no other process accepts them, clients still connect for a while.
+		p.listener.closed.Store(p.socketShared)
 		p.applyLimits()
 		p.step(reducer.Stopping{})
 	}
 }
 
-// read looks at what has come on a leg, and goes on reading where that has to be asked for.
+// readConn parses what has arrived on a connection, and continues reading where that has to be
+// requested.
 func (p *proxy) readConn(conn *connection, truncated bool) {
 	if conn.isClient {
 		p.readClient(conn, truncated)
@@ -141,6 +143,7 @@
 	}
 }
 
+// handleConnClosed handles the end of a connection. Reset reports that it was not closed in good order.
 func (p *proxy) handleConnClosed(conn *connection, reset bool) {
 	responsePending := conn.busy && !conn.closing
 	if conn.isDetached {
@@ -154,8 +157,8 @@
 		p.step(reducer.CallerClosed{Leg: conn.id})
 		return
 	}
-	// Guards against losing a large answer that had come whole with its connection's end, before the leg could
-	// be paused.
+	// Otherwise a large response would be lost that had arrived completely, together with the end
+	// of its connection, before the connection could be paused.
 	var message *http1.Message
 	if !reset {
 		message = conn.parser.End()
@@ -172,7 +175,8 @@
 	p.step(reducer.HopClosed{Leg: conn.id})
 }
 
-// toldLate takes in what came on a watch in the moment in which it was given up: it counts as told.
+// applyLateList applies a list that arrived on a watch while that watch was being abandoned: it
+// counts as received.
 func (p *proxy) applyLateList(document listDocument) {
 	if document.err != nil {
 		return
@@ -184,6 +188,7 @@
 	}
 }
 
+// applyList applies the result of the current call to discovery.
 func (p *proxy) applyList(document listDocument) {
 	start := time.Now()
 	list, err := lg.List{Kind: lg.ListFailed}, document.err
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -18,21 +18,23 @@
 	"lilacglade/internal/upgrade"
 )
 
-// Times of an upgrade, where the listening socket is shared.
+// Durations of an upgrade, where the listening socket is shared.
 const (
-	confirmTimeout   = 3 * time.Second        // a new process waits so long for discovery before it serves
-	overlapDuration  = 10 * time.Second       // the old process has ended by then, counted from the new one's start
-	handoverInterval = 250 * time.Millisecond // what the next process should know is written at most so often
+	confirmTimeout   = 3 * time.Second        // a new process waits this long at most for discovery
+	overlapDuration  = 10 * time.Second       // the old process exits within this time of the new one's start
+	handoverInterval = 250 * time.Millisecond // minimum time between two handovers written
 )
 
-// Parts of the memory limit that the Go runtime may use before it collects harder; the rest is for the
-// kernel's part of the sockets and for the program itself, which two processes have twice.
+// Fractions of the memory limit that the Go runtime may use before it collects harder. The rest is
+// for the kernel's part of the sockets and for the program itself, which exists twice while two
+// processes run.
 const (
 	memoryFraction       = 0.75
 	sharedMemoryFraction = 0.3
 )
 
-// confine keeps the runtime within the limits, of which another process may need its part.
+// setRuntimeLimits keeps the runtime within the limits, and within less memory while another
+// process needs a part of it.
 func setRuntimeLimits(limits settings.Limits, shared bool) {
 	fraction := memoryFraction
 	if shared {
@@ -42,8 +44,8 @@
 	debug.SetMemoryLimit(int64(fraction * float64(limits.MemoryMB) * (1 << 20)))
 }
 
-// confined keeps to the limits as they are now. The old process of an upgrade gives back what it no
-// longer needs.
+// applyLimits applies the current limits. The old process of an upgrade returns the memory that it
+// no longer needs.
 func (p *proxy) applyLimits() {
 	stopping := p.listener.closed.Load()
 	setRuntimeLimits(p.limits, p.socketShared && (stopping || p.uptime() < overlapDuration))
@@ -52,12 +54,12 @@
 	}
 }
 
-// listen opens the address, or takes the socket that was passed.
+// listen opens the address, or takes over the socket that was passed.
 func listen(node settings.Node) (netpoll.Listener, error) {
 	if node.Passed != "" {
 		ln, err := upgrade.Passed(node.Passed)
 		if err != nil {
-			return nil, err // guards against a nil in an interface that is none
+			return nil, err // not ln: a nil pointer in an interface is not nil
 		}
 		return ln, nil
 	}
@@ -71,17 +73,17 @@
 	return ln, nil
 }
 
-// listenFor is how long an address that can't be listened on for the moment is tried again: the process
-// before this one may just be ending there.
+// listenRetryTimeout is how long an address that can't be listened on is retried: the previous
+// process may still be exiting there.
 const listenRetryTimeout = 3 * time.Second
 
-// takes tells whether connections may be taken: at once where nobody else would, else once they can be
-// served, or when that takes too long.
+// readyToAccept reports whether connections may be accepted: at once where no other process would
+// accept them, else once they can be served, or when that takes too long.
 func (p *proxy) readyToAccept() bool {
 	return !p.socketShared || p.state.Ready() || p.uptime() >= confirmTimeout
 }
 
-// know takes in a server list that may be old.
+// applyKnownList applies a server list that may be outdated.
 func (p *proxy) applyKnownList(raw []byte) bool {
 	var list lg.List
 	doc, err := p.decoder.Decode(raw)
@@ -94,13 +96,13 @@
 		return false
 	}
 	if !p.settings.AskForList {
-		p.servers.Forget() // guards against a watch that waits for news, while what is known counts as outdated
+		p.servers.Forget() // otherwise a watch would wait for changes while the outdated list is in use
 	}
 	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
 	return true
 }
 
-// takeOver takes in what the process before this one handed over. Whatever is wrong with it, this one
+// takeOver applies what the previous process handed over. If any of it is unusable, this process
 // starts from its configuration alone.
 func (p *proxy) takeOver(node settings.Node) bool {
 	if !p.socketShared || node.Temp == "" {
@@ -127,7 +129,8 @@
 	return true
 }
 
-// save has what the next process should know written, now and then.
+// saveHandover passes the state for the next process to the writer, at intervals of at least
+// handoverInterval.
 func (p *proxy) saveHandover() {
 	if p.handoverWriter == nil || time.Since(p.handoverWriter.lastSave) < handoverInterval || !p.state.Ready() {
 		return
@@ -145,12 +148,14 @@
 	}
 }
 
-// saver writes handovers off the reducer's goroutine.
+// handoverWriter writes handovers on a goroutine of its own, so that the disk doesn't block the
+// reducer.
 type handoverWriter struct {
 	pending  chan upgrade.Handover
 	lastSave time.Time
 }
 
+// newHandoverWriter starts a writer to a directory. It logs when writing begins and ceases to fail.
 func newHandoverWriter(dir string) *handoverWriter {
 	writer := &handoverWriter{pending: make(chan upgrade.Handover, 1)}
 	go func() {
@@ -159,18 +164,20 @@
 			err := upgrade.Save(dir, handover)
 			if failed := err != nil; failed != failing {
 				failing = failed
-				log.Printf("handing over: %v", err)
+				log.Printf("saving the handover: %v", err)
 			}
 		}
 	}()
 	return writer
 }
 
-// staleFor is how long classes that a new configuration has dropped are still taken, by their old rules.
+// staleClassDuration is how long classes that a new configuration has dropped are still accepted,
+// by their old rules.
 const staleClassDuration = 3 * time.Second
 
-// retune takes new settings for what is read from now on, unless the decider can't. Zones and kinds are
-// numbered by the new names; where these differ, the server list is to be told again: it is returned.
+// applySettings applies new settings to what is read from now on, unless the decider doesn't
+// support that. Zones and kinds are numbered by the new names. Where these differ, the server list
+// must be applied again: it is returned.
 func (p *proxy) applySettings(updated settings.Settings) (known []byte) {
 	if !p.state.Retunes() {
 		return nil
@@ -178,7 +185,8 @@
 	previous := p.settings
 	updated.Settings = updated.Settings.After(previous.Settings)
 	p.settings, p.staleClassesUntil = updated, p.now()+staleClassDuration
-	if !slices.Equal(previous.ZoneNames, updated.ZoneNames) || !slices.Equal(previous.KindNames, updated.KindNames) {
+	if !slices.Equal(previous.ZoneNames, updated.ZoneNames) ||
+		!slices.Equal(previous.KindNames, updated.KindNames) {
 		known = p.servers.Document()
 		p.servers = p.servers.Anew(updated.ZoneNames, updated.KindNames)
 	}
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -16,39 +16,41 @@
 	"lilacglade/internal/settings"
 )
 
-// running is a proxy in this process, between callers, album servers and discovery that a test scripts byte
-// by byte. Each of them acts only when it has seen the step before.
+// testProxy is a proxy in this process, between clients, servers and a discovery that a test
+// scripts byte by byte. Each of them acts only when it has seen the previous step.
 type testProxy struct {
 	t         *testing.T
 	addr      string
 	discovery *fakeServer
-	stop      context.CancelFunc // as SIGTERM
-	reloads   chan Reload        // as SIGHUP
+	stop      context.CancelFunc // acts as SIGTERM
+	reloads   chan Reload        // acts as SIGHUP
 	exit      chan error
 	node      settings.Node
 	awaited   bool
 }
 
-// party is a listening socket whose connections a test takes one at a time.
+// fakeServer is a listening socket whose connections a test takes one at a time.
 type fakeServer struct {
 	t     *testing.T
 	addr  string
 	conns chan *scriptedConn
 }
 
-// peer is a side of a connection that a test scripts.
+// scriptedConn is a side of a connection that a test scripts.
 type scriptedConn struct {
 	*net.TCPConn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-func newScriptedConn(t *testing.T, c net.Conn) *scriptedConn {
-	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &scriptedConn{TCPConn: c.(*net.TCPConn), t: t, reader: bufio.NewReader(c)}
+// newScriptedConn takes over a connection until the end of the test.
+func newScriptedConn(t *testing.T, socket net.Conn) *scriptedConn {
+	t.Cleanup(func() { socket.Close() })
+	_ = socket.SetDeadline(time.Now().Add(testTimeout))
+	return &scriptedConn{TCPConn: socket.(*net.TCPConn), t: t, reader: bufio.NewReader(socket)}
 }
 
+// newFakeServer starts a fakeServer.
 func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,17 +61,17 @@
 	server := &fakeServer{t: t, addr: ln.Addr().String(), conns: make(chan *scriptedConn, 64)}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			socket, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			server.conns <- newScriptedConn(t, c)
+			server.conns <- newScriptedConn(t, socket)
 		}
 	}()
 	return server
 }
 
-// next is the next connection that came.
+// nextConn returns the next connection that was accepted.
 func (f *fakeServer) nextConn() *scriptedConn {
 	f.t.Helper()
 	select {
@@ -102,7 +104,7 @@
 	return req
 }
 
-// whole reads one request and returns its id, empty where it does not come whole.
+// tryRequestID reads one request and returns its id, empty if the request is incomplete.
 func (c *scriptedConn) tryRequestID() string {
 	req, err := http.ReadRequest(c.reader)
 	if err != nil {
@@ -114,15 +116,15 @@
 	return req.Header.Get("Request-Id")
 }
 
-// answer reads one answer; the error is that of its body.
+// answer reads one response; the error is that of its body.
 func (c *scriptedConn) answer() (status int, body string, _ error) {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	b, err := io.ReadAll(res.Body)
-	return res.StatusCode, string(b), err
+	data, err := io.ReadAll(res.Body)
+	return res.StatusCode, string(data), err
 }
 
 // reset ends the connection with a reset.
@@ -131,7 +133,7 @@
 	_ = c.Close()
 }
 
-// known is a whole list of album servers that are ready.
+// readyList returns a whole list of servers that are ready.
 func readyList(generation int, servers ...*fakeServer) string {
 	var entries []string
 	for i, server := range servers {
@@ -140,16 +142,19 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 }
 
+// listEntry returns one entry of a server list in discovery's encoding.
 func listEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"harbor-st","machineType":"std-2","cell":0,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":0}`, id, addr, state)
 }
 
+// okResponse returns a response with status 200 and a body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serve starts a proxy that knows the given list from its start; what it asks discovery is left to the test.
+// startProxy starts a proxy that knows the given list from its start; the test answers its calls to
+// discovery.
 func startProxy(t *testing.T, list string, change ...func(*settings.Node)) *testProxy {
 	t.Helper()
 	proxy := &testProxy{t: t, addr: freeAddr(t), discovery: newFakeServer(t), reloads: make(chan Reload, 1),
@@ -179,8 +184,8 @@
 	return proxy
 }
 
-// freeAddr is an address on which nobody listens, of a host of its own: no other process's connections are
-// given its port meanwhile.
+// freeAddr returns an address on which nobody listens. Its host is random, so that connections of
+// other processes are not given its port meanwhile.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(200), rand.IntN(200), 1+rand.IntN(200))
@@ -192,7 +197,8 @@
 	return free.Addr().String()
 }
 
-// resting is a caller whose connection rests after an answer, and the server's side that gave it.
+// idleClient returns a client connection that is idle after an answer, and the server connection
+// that the answer came from.
 func (p *testProxy) idleClient(server *fakeServer) (client, serverConn *scriptedConn) {
 	p.t.Helper()
 	client = p.connect()
@@ -204,7 +210,7 @@
 	return client, serverConn
 }
 
-// figure asks at the operators' door until one of the lines is among the figures.
+// awaitMetric polls the operator interface until one of the lines is among the figures.
 func (p *testProxy) awaitMetric(adminAddr string, wants ...string) {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -220,12 +226,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("never told: %s", wants)
+			p.t.Fatalf("never reported: %s", wants)
 		}
 	}
 }
 
-// end waits for the program's end.
+// awaitExit waits until the proxy has returned.
 func (p *testProxy) awaitExit() {
 	p.t.Helper()
 	p.awaited = true
@@ -239,7 +245,7 @@
 	}
 }
 
-// caller opens a caller's connection once the proxy listens.
+// connect opens a client connection once the proxy listens.
 func (p *testProxy) connect() *scriptedConn {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -253,7 +259,7 @@
 	}
 }
 
-// edit is a request that is unsafe to repeat.
+// editRequest returns a request that is unsafe to repeat.
 func editRequest(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: album-edit\r\n" +
 		"Tenant: port-alder\r\nRequest-Timeout-Ms: 20000\r\nContent-Length: 3\r\n\r\nabc"
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -11,8 +11,8 @@
 	"lilacglade/internal/serverlist"
 )
 
-// inbox takes what happens on any goroutine to the one that runs the reducer. Posting never
-// waits, so that neither a poller nor the reducer itself can be held up by it.
+// inbox carries items from any goroutine to the one that runs the reducer. Posting never waits, so
+// that it can block neither a poller nor the reducer itself.
 type inbox struct {
 	mu    sync.Mutex
 	items []any
@@ -21,6 +21,7 @@
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
+// post appends an item and wakes the reducer's goroutine.
 func (b *inbox) post(item any) {
 	b.mu.Lock()
 	b.items = append(b.items, item)
@@ -31,7 +32,7 @@
 	}
 }
 
-// take empties the inbox; spare is used for what comes next.
+// takeAll empties the inbox; spare is reused for the next items.
 func (b *inbox) takeAll(spare []any) []any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -40,65 +41,69 @@
 	return items
 }
 
-// What the goroutines round the reducer post.
+// The items that other goroutines post to the reducer's goroutine.
 type (
 	accepted struct{ conn *connection }
 	bytesIn  struct {
 		conn         *connection
 		data         []byte
-		truncated    bool // more came and was dropped
+		truncated    bool // more arrived and was dropped
 		readAt       time.Time
-		delay        time.Duration // it may have come so long before it was read
-		fromDetached bool          // from a raw leg
+		delay        time.Duration // how long before it was read it may have arrived
+		fromDetached bool          // read by readNext
 	}
 	detached     struct{ conn *connection }
-	bodyComplete struct { // a caller's body has come to its end
+	bodyComplete struct { // the last byte of a client's body has arrived
 		stream *bodyStream
 		readAt time.Time
 	}
-	bodyFailed struct { // a caller's body came wrongly or too slowly
+	bodyFailed struct { // a client's body was malformed or too slow
 		conn *connection
 		err  error
 	}
-	connUnusable  struct{ conn *connection }
-	requestUnsent struct{ conn *connection } // nothing was written, and the leg is as good as before
-	clientHungUp  struct{ conn *connection } // a caller has left, whatever of it is still unread
+	connUnusable  struct{ conn *connection } // nothing was written: the connection can't carry a request
+	requestUnsent struct{ conn *connection } // nothing was written, and the connection is still usable
+	clientHungUp  struct{ conn *connection } // a client has closed its connection, even if input is still unread
 	connClosed    struct {
 		conn  *connection
-		reset bool // it did not end in good order: what came on it is no whole answer by that
+		reset bool // not closed in good order: its end doesn't complete a response
 	}
 	written struct {
 		conn     *connection
-		err      error       // why it was not written whole; nil: it was
-		stream   *bodyStream // that was passed on; nil: a whole message was written
-		leftover []byte      // what had come behind its body
+		err      error       // why it was not written completely; nil: it was
+		stream   *bodyStream // that was copied; nil: a complete message was written
+		leftover []byte      // bytes that followed the body
 	}
 	dialed struct {
 		conn       *connection
-		socket     netpoll.Connection // nil when it failed
-		localFault bool               // by a fault of this machine
+		socket     netpoll.Connection // nil if it failed
+		localFault bool               // the local machine caused the failure
 	}
-	// reached says that a watcher's call has a connection.
+	// discoveryConnected reports that a watcher's call has a connection.
 	discoveryConnected struct{ watcher *watcher }
 
+	// listDocument is the result of a call to discovery.
 	listDocument struct {
 		from       *watcher
 		list       serverlist.Document
 		err        error
-		malformed  bool          // it came whole and makes no sense
-		size       int           // of it
-		decodeTime time.Duration // how long it took to be read
+		malformed  bool          // it is complete but can't be decoded
+		size       int           // of the encoded document, in bytes
+		decodeTime time.Duration // time spent decoding
 		callNumber uint64        // the number of the call that it answers
-		duration   time.Duration // from the call's beginning to its end
+		duration   time.Duration // from the call's start to its end
 	}
-	reloaded         struct{ reload Reload }
-	stopping         struct{}
-	overlapEnded     struct{} // the process before this one has ended
+	reloaded     struct{ reload Reload }
+	stopping     struct{}
+	overlapEnded struct{} // the previous process has exited
+	// quiesceCheck asks for a ClientQuiesced event if the connection is idle by then.
 	quiesceCheck     struct{ conn *connection }
-	acceptQueueEmpty struct{}
-	factsUpdated     struct {
+	acceptQueueEmpty struct{} // all clients that had connected were accepted and posted
+	// factsUpdated brings the coordination group's decisions on machines. Own is the grant by which this
+	// proxy's own machine is taken out; 0: it is not.
+	factsUpdated struct {
 		facts fencing.Facts[lg.ServerID]
 		own   uint64
 	}
-	serveFailed struct{ err error }
+	serveFailed struct{ err error } // netpoll's event loop has ended
 )
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,23 +13,23 @@
 	"lilacglade/internal/logburst"
 )
 
-// acceptPause is waited after an accept that failed. The poller waits with it, so it is short; without it,
-// it would try again at once for as long as the fault lasts.
+// acceptRetryDelay is the pause after an accept that failed. The poller waits meanwhile, so it is
+// short; without it, the poller would retry in a busy loop for as long as the fault lasts.
 const acceptRetryDelay = time.Millisecond
 
-// listener turns away connections beyond the descriptors that callers have, before anything else is spent on
-// them. Guards against running out of descriptors between the accepting and the reducer's making room. An
-// accept that fails is tried again soon, whatever the error: they all are of one connection or of the
-// moment.
+// listener closes connections beyond the descriptors reserved for clients, before anything else is
+// allocated for them. Otherwise descriptors could run out before the reducer has
+// closed other connections. An accept that fails is retried soon, whatever the error: every error concerns
+// one connection only or is transient.
 type listener struct {
 	netpoll.Listener
 	openConns, maxConns atomic.Int64
 	acceptCalls         atomic.Int64
-	closed              atomic.Bool // nothing more is taken; the socket itself stays as it is
+	closed              atomic.Bool // nothing more is accepted; the socket itself stays open
 
-	// Of the poller's goroutine.
-	failingSince time.Time // when accepting began to fail of what still waits to be taken; zero: nothing does
-	waitingSince time.Time // what was accepted last may have waited since then; zero: it has not
+	// Owned by the poller's goroutine.
+	failingSince time.Time // when accepting began to fail for connections that still wait; zero: none waits
+	waitingSince time.Time // since when the last accepted connection may have waited; zero: it has not
 	logLimiter   logburst.Limiter
 	started      time.Time
 }
@@ -40,26 +40,26 @@
 	return l
 }
 
-// settle calls done once nothing waits to be taken: the poller takes one connection in a round, so that a
-// whole round has taken none.
+// awaitPending calls done once no connection waits to be accepted. The poller accepts one
+// connection in a round, so it waits for a whole round without any.
 func (l *listener) awaitPending(done func()) {
 	defer done()
 	for calls := int64(-1); calls != l.acceptCalls.Load(); {
 		calls = l.acceptCalls.Load()
 		for range 2 { // the first round may have begun before
 			if err := pollerBarrier.wait(); err != nil {
-				log.Printf("the last callers can't be waited for: %v", err)
+				log.Printf("can't wait for pending connections: %v", err)
 				return
 			}
 		}
 	}
 }
 
-// errClosed makes the library let go of the listening socket, by the word that it looks for.
+// errClosed makes the library stop using the listening socket: it looks for the word "closed".
 var errClosed = errors.New("closed for this process")
 
-// Accept returns no connection and no error when there is nothing to take, or it can't be taken now: then
-// the library calls it again.
+// Accept returns no connection and no error when none is waiting, or when it can't be accepted now:
+// the library then calls it again.
 func (l *listener) Accept() (net.Conn, error) {
 	if l.closed.Load() {
 		return nil, errClosed
@@ -83,27 +83,28 @@
 	return conn, nil
 }
 
-// failed takes in an accept that failed.
+// acceptFailed handles an accept that failed.
 func (l *listener) acceptFailed(err error) {
 	now := time.Now()
 	if l.failingSince.IsZero() {
 		l.failingSince = now
 	}
 	if suppressed, ok := l.logLimiter.Allow(now.Sub(l.started)); ok {
-		log.Printf("a connection can't be accepted now: %v (%d more since the last line)", err, suppressed)
+		log.Printf("can't accept a connection: %v (%d more since the last line)", err, suppressed)
 	}
 	time.Sleep(acceptRetryDelay)
-	if !readable(l.Fd()) { // it was of a connection that is gone by now
+	if !readable(l.Fd()) { // the error concerned a connection that is gone by now
 		l.failingSince = time.Time{}
 	}
 }
 
-// readable tells whether a read on a descriptor, or an accept, has something to get.
+// readable reports whether a read on a descriptor, or an accept, would return something.
 func readable(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// calm is the number of caller legs up to which the reducer has time to make room.
+// softClientLimit is the number of client connections above which the reducer starts to close idle
+// ones: early enough to stay below the limit of the listener.
 func softClientLimit(maxClients int) int { return maxClients * 7 / 8 }
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -14,7 +14,7 @@
 	"lilacglade/internal/settings"
 )
 
-// The names that the deployment gives its fields and paths.
+// Names of the header fields and paths that the deployment uses.
 const (
 	fieldID             = "Request-Id"
 	fieldClass          = "Request-Class"
@@ -30,35 +30,38 @@
 	pathHealth          = "/healthz"
 )
 
-// once are the fields that a request may hold one time only.
-var singletonFields = []string{fieldID, fieldClass, fieldTenant, fieldAffinityKey, fieldTimeout, fieldIdempotencyKey, fieldClientRetry}
+// singletonFields are the fields that a request may hold only once.
+var singletonFields = []string{fieldID, fieldClass, fieldTenant, fieldAffinityKey, fieldTimeout,
+	fieldIdempotencyKey, fieldClientRetry}
 
-// maxTimeout bounds what a caller may ask for.
+// maxTimeout limits the timeout that a client may ask for.
 const maxTimeout = time.Hour
 
-// maxHint is more work than any request can be: what hints at more has no hint.
+// maxWorkHint is more work than any request can be: a larger hint counts as absent.
 const maxWorkHint = 100 * time.Second
 
-// hint reads the work in microseconds that a caller estimates, 0 where it is not told or no number that can
-// be one. Guards against optional fields that have a request turned away, or are believed whatever they say.
+// workHint returns a client's estimate of a request's work, which is sent in microseconds; 0 where
+// it is missing or not a valid number. It never fails: an optional field must not cause a
+// rejection, and an implausible value must not be used.
 func workHint(message *http1.Message) time.Duration {
 	value := message.Get(fieldWorkHint)
 	if len(value) == 0 || message.Count(fieldWorkHint) > 1 {
 		return 0
 	}
 	microseconds, err := strconv.ParseFloat(string(value), 64)
-	if limit := float64(maxWorkHint / time.Microsecond); err != nil || !(microseconds > 0 && microseconds <= limit) {
+	if limit := float64(maxWorkHint / time.Microsecond); err != nil ||
+		!(microseconds > 0 && microseconds <= limit) {
 		return 0
 	}
 	return time.Duration(microseconds * float64(time.Microsecond))
 }
 
-// faulty words the answer to what can't be taken as a request.
+// invalidRequest returns the event that answers what can't be accepted as a request.
 func invalidRequest(id reducer.LegID, status int, fields string, last bool) reducer.CallerFaulty {
 	return reducer.CallerFaulty{Leg: id, Payload: http1.Answer(status, fields, "", last), Last: last}
 }
 
-// unreadable words the answer to what the parser gave up on.
+// parseFailure returns the event that answers a request that the parser rejected.
 func parseFailure(id reducer.LegID, err error) reducer.CallerFaulty {
 	switch err {
 	case http1.ErrHeadSize:
@@ -69,8 +72,8 @@
 	return invalidRequest(id, 400, "", true)
 }
 
-// asked turns a request that was read at the given time into its event. Stale says that classes that are no
-// longer offered are taken, too.
+// requestEvent turns a request that was read at the given time into its event. AcceptStale reports
+// that classes that are no longer offered are accepted, too.
 func requestEvent(config *settings.Settings, acceptStale bool, id reducer.LegID, message *http1.Message,
 	readAt time.Duration) reducer.Event {
 	method := string(message.Method)
@@ -89,7 +92,7 @@
 	}
 	for _, name := range singletonFields {
 		if message.Count(name) > 1 {
-			return invalidRequest(id, 400, "", true) // whoever reads it next may take another one
+			return invalidRequest(id, 400, "", true) // the next reader might use another one of them
 		}
 	}
 	classIndex := -1
@@ -98,8 +101,10 @@
 		if string(message.Get(fieldClass)) != config.Classes[i].Name || !offered && !acceptStale {
 			continue
 		}
-		// Of two with one name the one that fits counts, else the one that is offered.
-		if classIndex < 0 || !matchesClass(&config.Classes[classIndex], message) && matchesClass(&config.Classes[i], message) {
+		// Of two classes with one name the one that matches the request counts, else the one that
+		// is offered.
+		if classIndex < 0 || !matchesClass(&config.Classes[classIndex], message) &&
+			matchesClass(&config.Classes[i], message) {
 			classIndex = i
 		}
 	}
@@ -113,7 +118,8 @@
 	timeout := class.Deadline
 	if value := message.Get(fieldTimeout); value != nil {
 		milliseconds, err := strconv.ParseUint(string(value), 10, 32)
-		if timeout = time.Duration(milliseconds) * time.Millisecond; err != nil || milliseconds == 0 || timeout > maxTimeout {
+		if timeout = time.Duration(milliseconds) * time.Millisecond; err != nil || milliseconds == 0 ||
+			timeout > maxTimeout {
 			return invalidRequest(id, 400, "", true)
 		}
 	}
@@ -121,7 +127,8 @@
 		return invalidRequest(id, 400, "", true)
 	}
 	event := reducer.CallerAsked{Leg: id, Name: string(message.Get(fieldID)), Class: classIndex, Tenant: -1,
-		Deadline: readAt + timeout, Repeat: string(message.Get(fieldClientRetry)) == "1", Cost: workHint(message), Payload: message, Last: message.Close}
+		Deadline: readAt + timeout, Repeat: string(message.Get(fieldClientRetry)) == "1",
+		Cost: workHint(message), Payload: message, Last: message.Close}
 	for i := range config.Tenants {
 		if string(message.Get(fieldTenant)) == config.Tenants[i].Name {
 			event.Tenant = i
@@ -133,12 +140,13 @@
 	return event
 }
 
-// fits tells whether a request has the form that a class asks for.
+// matchesClass reports whether a request has the form that a class requires.
 func matchesClass(class *lg.Class, message *http1.Message) bool {
-	return string(message.Method) == methodFor(class.Effect) && (len(message.Get(fieldIdempotencyKey)) > 0) == (class.Effect == lg.Keyed)
+	return string(message.Method) == methodFor(class.Effect) &&
+		(len(message.Get(fieldIdempotencyKey)) > 0) == (class.Effect == lg.Keyed)
 }
 
-// methodOf is the method that goes with what a class may do.
+// methodFor returns the method of the requests of a class with that effect.
 func methodFor(effect lg.Effect) string {
 	if effect == lg.Safe {
 		return "GET"
@@ -146,12 +154,12 @@
 	return "POST"
 }
 
-// answered turns a next hop's answer into its event. Only the two statuses that say so
-// themselves prove that the request never ran.
+// responseEvent turns a server's response into its event. Only the two statuses that can say so
+// prove that the request never started.
 func responseEvent(config *settings.Settings, id reducer.LegID, message *http1.Message,
 	reusable bool) reducer.HopAnswered {
-	event := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: message, Keep: reusable && !message.Close,
-		Load: parseLoadReport(config.Report, message.Get(fieldLoad))}
+	event := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: message,
+		Keep: reusable && !message.Close, Load: parseLoadReport(config.Report, message.Get(fieldLoad))}
 	switch message.Status {
 	case 200:
 		event.Result = lg.OK
@@ -163,7 +171,7 @@
 	return event
 }
 
-// load reads a load report; one that is garbled or lacks a value counts as none.
+// parseLoadReport parses a load report; one that is malformed or lacks a value counts as none.
 func parseLoadReport(names []lg.LoadField, text []byte) lg.LoadReport {
 	if len(text) == 0 || len(names) > len(lg.LoadReport{}.Values) {
 		return lg.LoadReport{}
@@ -190,7 +198,7 @@
 	return report
 }
 
-// answer words an answer to a caller.
+// encodeAnswer returns the bytes of an answer to a client.
 func encodeAnswer(effect reducer.Effect) [][]byte {
 	switch effect.Verdict {
 	case reducer.Served:
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -11,20 +11,21 @@
 	"lilacglade/internal/settings"
 )
 
-// read returns a request of one class with the given lines in its head.
+// parseRequest returns a request of one class with the given lines in its head.
 func parseRequest(lines string) (reducer.Event, bool) {
 	set := settings.Settings{Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}}
-	var p http1.Parser
-	p.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" + lines + "\r\n"))
-	message, err := p.Next()
+	var parser http1.Parser
+	parser.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" +
+		lines + "\r\n"))
+	message, err := parser.Next()
 	if err != nil || message == nil {
 		return nil, false
 	}
 	return requestEvent(&set, false, 1, message, 0), true
 }
 
-// TestHintReachesTheModule guards against hints that never arrive, and against optional fields that turn a
-// request away: what is no estimate of work is as if absent.
+// TestWorkHintReachesBalancer checks that valid hints arrive at the Balancer, and that a malformed
+// optional field counts as absent instead of causing a rejection.
 func TestWorkHintReachesBalancer(t *testing.T) {
 	for lines, want := range map[string]time.Duration{
 		"":                                       0,
@@ -55,22 +56,22 @@
 	event, _ := parseRequest("Work-Hint: 53000\r\n")
 	state.Step(0, reducer.CallerOpened{Leg: 1})
 	if state.Step(0, event); got.Cost != 53*time.Millisecond {
-		t.Errorf("the module was told %v", got.Cost)
+		t.Errorf("the Balancer received %v", got.Cost)
 	}
 }
 
-// spy keeps the requests that it is given.
+// requestRecorder stores the last request that it is given.
 type requestRecorder struct{ got *lg.Request }
 
 func (s requestRecorder) Handle(_ time.Duration, event lg.Event) []lg.Action {
-	if r, ok := event.(lg.Request); ok {
-		*s.got = r
+	if request, ok := event.(lg.Request); ok {
+		*s.got = request
 	}
 	return nil
 }
 
-// FuzzAsked checks that whatever an optional field holds, a request that is read is taken, with no work that
-// can't be.
+// FuzzRequestEvent checks that a request is accepted whatever an optional field holds, and that its
+// work is within the limits.
 func FuzzRequestEvent(f *testing.F) {
 	f.Add("Work-Hint", "12")
 	f.Add("Work-Hint", "-0x1p9")
--- a/internal/transport/netpoll.go
+++ b/internal/transport/netpoll.go
@@ -9,27 +9,27 @@
 	"lilacglade/internal/transient"
 )
 
-// connection is what is used of the library's connections: all but their deadlines. The library (0.7.2)
-// keeps a deadline as a wall time and compares it with the wall clock when a wait begins, so that after a
-// step of that clock every wait ends at once, or hours late. Time-outs, which are spans, it measures by a
-// timer.
+// netpollConn is the used part of the library's connections: everything but their deadlines. The
+// library (0.7.2) keeps a deadline as a wall time and compares it with the wall clock when a wait
+// begins, so that after a step of that clock every wait ends at once, or hours late. Timeouts,
+// which are durations, it measures by a timer.
 type netpollConn interface {
 	Reader() netpoll.Reader
 	Writer() netpoll.Writer
 	IsActive() bool
 	Close() error
-	// SetReadTimeout and SetWriteTimeout hold for each wait that begins after the call. 0 means no limit:
-	// flush and await keep that from being asked for by chance.
+	// SetReadTimeout and SetWriteTimeout apply to each wait that begins after the call. 0 means no
+	// limit: flush and awaitReadable prevent that from being set by accident.
 	SetReadTimeout(time.Duration) error
 	SetWriteTimeout(time.Duration) error
 	SetOnRequest(netpoll.OnRequest) error
 	AddCloseCallback(netpoll.CloseCallback) error
 }
 
-// errOverdue says that the time for something was over before it began.
-var errDeadlinePassed = errors.New("its time is over")
+// errDeadlinePassed reports that the deadline of an operation had passed before it began.
+var errDeadlinePassed = errors.New("the deadline has passed already")
 
-// flush writes what is in a connection's buffer, and waits for that no longer than so long.
+// flush writes the contents of a connection's buffer, and waits for that no longer than timeout.
 func flush(conn netpollConn, timeout time.Duration) error {
 	if timeout <= 0 {
 		return errDeadlinePassed
@@ -40,7 +40,7 @@
 	return conn.Writer().Flush()
 }
 
-// await waits for a first byte, no longer than so long.
+// awaitReadable waits for a first byte, no longer than timeout.
 func awaitReadable(conn netpollConn, timeout time.Duration) error {
 	if timeout <= 0 {
 		return errDeadlinePassed
@@ -52,8 +52,8 @@
 	return err
 }
 
-// dial opens a connection, no longer than so long. To the library a time-out of 0 means none. What fails by
-// a fault of this machine is tried again: nothing has left it.
+// dial opens a TCP connection, within timeout at most. To the library a timeout of 0 means none. A
+// fault of the local machine is retried: nothing has been sent then.
 func dial(address string, timeout time.Duration) (netpoll.Connection, error) {
 	deadline := time.Now().Add(timeout)
 	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -18,25 +18,25 @@
 	"lilacglade/internal/wallclock"
 )
 
-// Times of what is observed for operators.
+// Intervals and thresholds of logging.
 const (
-	clockCheckInterval = 100 * time.Millisecond // the clocks are compared at most so often
-	faultLogInterval   = time.Second            // faults of one kind are logged at most so often
-	slowItemThreshold  = 50 * time.Millisecond  // an event that takes so long holds up every request of the process
+	clockCheckInterval = 100 * time.Millisecond // minimum interval between two comparisons of the clocks
+	faultLogInterval   = time.Second            // minimum interval between two log lines about one kind of fault
+	slowItemThreshold  = 50 * time.Millisecond  // an item that takes this long is logged
 )
 
-// observer is what the sockets tell operators about: the log's lines and the figures that the reducer can't
-// count. The reducer's goroutine owns it.
+// observer reports to operators: it writes the log lines and counts the figures that the reducer
+// can't count. The reducer's goroutine owns it.
 type observer struct {
 	figures          reducer.SocketFigures
 	wallClock        wallclock.Monitor
-	nextClockCheck   time.Duration
+	nextClockCheck   time.Duration // on the proxy's clock
 	unwritten        logburst.Limiter
 	unserved         logburst.Limiter
-	calls            logburst.Limiter
-	slow             logburst.Limiter
-	loggedClockError time.Duration // what was logged last of the wall clock at the start
-	lastCallError    string        // of the last call to discovery; empty: it was answered
+	calls            logburst.Limiter // failed calls to discovery
+	slow             logburst.Limiter // slow items
+	loggedClockError time.Duration    // the error of the wall clock at the start, as it was last logged
+	lastCallError    string           // of the last call to discovery; empty: it was answered
 }
 
 func newObserver() observer {
@@ -44,7 +44,7 @@
 	return observer{unwritten: every, unserved: every, calls: every, slow: every}
 }
 
-// lookAtClock logs a step of the wall clock. Nothing depends on it.
+// checkWallClock logs a step of the wall clock. Nothing else depends on it.
 func (o *observer) checkWallClock(wallTime time.Time, now time.Duration) {
 	if now < o.nextClockCheck {
 		return
@@ -56,8 +56,8 @@
 	}
 }
 
-// handled takes in how long the reducer's goroutine took for an item, and how long the item had waited. A
-// slow one holds up every request of the process, so it is logged with what it was.
+// recordItem records how long the reducer's goroutine took for an item, and how long the item had
+// been queued. A slow item delays every request of the process, so it is logged with its kind.
 func (o *observer) recordItem(item any, start time.Time, duration, now time.Duration) {
 	figures := &o.figures
 	figures.LongestEvent = max(figures.LongestEvent, duration)
@@ -72,31 +72,33 @@
 	}
 	figures.SlowEvents++
 	if suppressed, ok := o.slow.Allow(now); ok {
-		log.Printf("the reducer took %v for %s (%d more since the last line)", roundForLog(duration), itemName(item), suppressed)
+		log.Printf("the reducer took %v for %s (%d more since the last line)", roundForLog(duration),
+			itemName(item), suppressed)
 	}
 }
 
-// handled tells the observer how long an item took that was begun at a moment.
+// recordItem reports to the observer how long an item took.
 func (p *proxy) recordItem(item any, start time.Time) {
 	end := time.Now()
 	p.observer.recordItem(item, start, end.Sub(start), p.at(end))
 }
 
-// itemName is what the log calls an item.
+// itemName returns the name of an item in the log.
 func itemName(item any) string {
 	if document, ok := item.(listDocument); ok {
-		return fmt.Sprintf("a document of the server list, %d bytes", document.size)
+		return fmt.Sprintf("a server list document of %d bytes", document.size)
 	}
 	return strings.TrimPrefix(fmt.Sprintf("%T", item), "transport.")
 }
 
-// called takes in the end of a call to discovery. A fault is logged when it begins, when it changes, and
-// once a burst for as long as it lasts.
+// recordCall records the end of a call to discovery. A fault is logged when it begins, when it
+// changes, and once per interval for as long as it lasts.
 func (o *observer) recordCall(document listDocument, err error, now time.Duration) {
 	if err == nil {
 		o.figures.CallsAnswered++
 		if o.lastCallError != "" {
-			log.Printf("discovery: call %d to %s was answered after %v", document.callNumber, document.from.address, roundForLog(document.duration))
+			log.Printf("discovery: call %d to %s was answered after %v", document.callNumber,
+				document.from.address, roundForLog(document.duration))
 		}
 		o.lastCallError = ""
 		return
@@ -110,7 +112,8 @@
 	}
 }
 
-// unanswered takes in that an answer could not be written. That its client has left is nothing to tell.
+// recordUnwritten records that an answer could not be written. A client that has left is not worth
+// a log line.
 func (o *observer) recordUnwritten(conn *connection, err error, now time.Duration) {
 	if err == nil || isDisconnect(err) {
 		return
@@ -122,8 +125,9 @@
 	}
 }
 
-// unserved takes in an answer that is about to be written. One that is no server's, to a request that was
-// taken, is logged with what had been tried, so that an operator can tell why a client was turned away.
+// recordUnserved records an answer that is about to be written. An answer to an accepted request
+// that comes from no server is logged with the attempts made, so that an operator can see why the
+// request was not served.
 func (o *observer) recordUnserved(conn *connection, effect reducer.Effect, now time.Duration) {
 	unserved, ok := effect.Payload.(reducer.Unserved)
 	if !ok {
@@ -137,14 +141,14 @@
 	if unserved.Attempts > 0 {
 		attempts = fmt.Sprintf("%d attempts, last result %s", unserved.Attempts, unserved.Last)
 	}
-	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", conn.requestID, effect.Verdict,
-		roundForLog(unserved.Took), attempts, suppressed)
+	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", conn.requestID,
+		effect.Verdict, roundForLog(unserved.Took), attempts, suppressed)
 }
 
-// clientLeft tells whether an answer was not written because the other side has gone.
+// isDisconnect reports whether an answer was not written because the other side has left.
 func isDisconnect(err error) bool {
-	for _, disconnect := range []error{net.ErrClosed, io.EOF, netpoll.ErrConnClosed, netpoll.ErrEOF, syscall.EPIPE,
-		syscall.ECONNRESET, errStopped} {
+	for _, disconnect := range []error{net.ErrClosed, io.EOF, netpoll.ErrConnClosed, netpoll.ErrEOF,
+		syscall.EPIPE, syscall.ECONNRESET, errStopped} {
 		if errors.Is(err, disconnect) {
 			return true
 		}
@@ -152,21 +156,22 @@
 	return false
 }
 
-// rounded is a duration as a log line has it.
+// roundForLog rounds a duration for a log line.
 func roundForLog(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
 
-// mostNamed bounds the servers that one line of the log names.
+// maxLoggedServers limits the servers that one log line names.
 const maxLoggedServers = 12
 
-// stateNames are what the log calls a server's states.
+// stateNames are the names of a server's states in the log.
 var stateNames = [...]string{lg.Ready: "ready", lg.Draining: "draining", lg.Gone: "gone"}
 
-// logChanges logs what the server list that came last has changed.
+// logListChanges logs the changes that the last server list brought.
 func (p *proxy) logListChanges() {
-	if clockError := p.servers.ClockError(); (clockError - p.observer.loggedClockError).Abs() >= wallclock.Threshold {
+	if clockError := p.servers.ClockError(); (clockError -
+		p.observer.loggedClockError).Abs() >= wallclock.Threshold {
 		p.observer.loggedClockError = clockError
-		log.Printf("the wall clock was wrong by about %v when this process started, as servers' start times tell: "+
-			"servers are taken for younger rather than older", clockError.Round(time.Second))
+		log.Printf("the wall clock was wrong by about %v when this process started, judging by servers' start "+
+			"times: the ages of servers are estimated too low rather than too high", clockError.Round(time.Second))
 	}
 	changes := p.servers.Changes()
 	if len(changes) == 0 {
@@ -186,7 +191,7 @@
 	log.Printf("server list: version %d%s", p.servers.Version(), &line)
 }
 
-// logServer logs a line, with the name of the server that it is about.
+// logEffect logs a line, with the name of the server that it concerns.
 func (p *proxy) logEffect(effect reducer.Effect) {
 	if name := p.servers.Name(effect.Server); effect.Server != 0 && name != "" {
 		log.Printf("%s (%s)", effect.Text, name)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -15,13 +15,13 @@
 	"lilacglade/internal/settings"
 )
 
-// loads is what the other proxies were told of this one's load.
+// publishedLoad holds the totals at the last load report to the other proxies.
 type publishedLoad struct {
 	handled, rejected uint64
-	serverNames       map[lg.ServerID]string // of the next hops, as discovery lists them
+	serverNames       map[lg.ServerID]string // as discovery lists them
 }
 
-// join has this proxy take part among its peers.
+// joinPeers connects this proxy to its peers.
 func (p *proxy) joinPeers(cfg peers.Config, node settings.Node) (err error) {
 	var longest time.Duration
 	for _, class := range p.settings.Classes {
@@ -33,16 +33,18 @@
 	return err
 }
 
-// errBeginsLate says that an attempt was not begun since its time was over.
+// errTooLate reports that an attempt was not begun because its deadline had passed.
 var errTooLate = errors.New("too late to begin")
 
-// heldFor is how long after it was decided an attempt may begin. Its client may leave, its server begin to
-// drain, and the deadline that it tells run out in that time, which the rules allow for; not in more.
+// maxWriteDelay limits how long after it was decided an attempt may begin. In that time its client
+// may leave, its server begin to drain, and the reported deadline run out; the rules allow for
+// these within this delay only.
 const maxWriteDelay = 100 * time.Millisecond
 
-// late is asked just before a request is written. Guards against a process that was held up there: the time
-// for the attempt may be over, or the machine out by now, so nothing is written, and said is posted; or it
-// is to be decided anew.
+// tooLateCheck returns a check that runs just before a request is written. If the process was
+// delayed until then, the attempt's deadline may have passed or the machine may be out by now: then
+// nothing is written and report is posted. After a delay of more than maxWriteDelay the reducer
+// decides again.
 func (p *proxy) tooLateCheck(effect reducer.Effect, report written) func() bool {
 	decided := p.now()
 	return func() bool {
@@ -60,7 +62,7 @@
 	}
 }
 
-// published shows the figures to operators, and what follows from them to the other proxies.
+// publish reports the figures to operators, and the load derived from them to the other proxies.
 func (p *proxy) publish(figures *reducer.Figures) {
 	if p.adminServer != nil {
 		p.adminServer.Show(figures)
@@ -73,7 +75,8 @@
 		now.handled += handled.Passed + handled.Dropped + handled.BadGateway
 		now.rejected += handled.Dropped
 	}
-	load := coordination.Load{Handled: now.handled - p.lastPublished.handled, Refused: now.rejected - p.lastPublished.rejected}
+	load := coordination.Load{Handled: now.handled - p.lastPublished.handled,
+		Refused: now.rejected - p.lastPublished.rejected}
 	for _, room := range figures.Rooms {
 		load.Busy += float64(room.Out)
 		name, ok := now.serverNames[room.Server]
@@ -93,7 +96,7 @@
 	p.lastPublished = now
 }
 
-// inventory tells the other proxies' council what discovery lists.
+// publishInventory reports the servers that discovery lists to the coordination group.
 func (p *proxy) publishInventory() {
 	if p.peers == nil {
 		return
@@ -102,8 +105,9 @@
 	p.lastPublished.serverNames = map[lg.ServerID]string{}
 	for _, instance := range p.servers.Instances() {
 		p.lastPublished.serverNames[serverlist.ID(instance.Name)] = instance.Name
-		machines = append(machines, maintenance.Seen{Ready: instance.State == lg.Ready, Machine: maintenance.Machine{ID: instance.Name,
-			Zone: instance.Zone, Kind: instance.Kind, Weight: instance.Weight, Started: instance.Started}})
+		machines = append(machines, maintenance.Seen{Ready: instance.State == lg.Ready,
+			Machine: maintenance.Machine{ID: instance.Name, Zone: instance.Zone, Kind: instance.Kind,
+				Weight: instance.Weight, Started: instance.Started}})
 	}
 	p.peers.Inventory(slices.Clip(machines))
 }
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -7,14 +7,15 @@
 	"lilacglade/internal/reducer"
 )
 
-// TestTooLateToBegin guards against a request written at a machine that may be out, by a process that was
-// paused just before, or after its time, or so long after it was decided that its client may have left.
+// TestTooLateToBegin checks that no request is written to a machine that may be out, by a process
+// that was paused just before, nor after the attempt's deadline, nor so long after the decision
+// that the client may have left.
 func TestTooLateToBegin(t *testing.T) {
 	p := &proxy{clock: newClock(), inbox: newInbox()}
 	future, past := p.now()+time.Hour, p.now()
 	for _, effect := range []reducer.Effect{{At: future}, {At: future, Begin: future}} {
 		if p.tooLateCheck(effect, written{})() {
-			t.Errorf("%+v: too late an hour before", effect)
+			t.Errorf("%+v: too late an hour before its deadline", effect)
 		}
 	}
 	conn := &connection{inbox: p.inbox, clock: p.clock}
@@ -25,11 +26,11 @@
 			t.Errorf("%+v: got %+v", effect, items)
 		}
 	}
-	// Held up for longer than the rules allow for, it is decided anew.
+	// After a longer delay than the rules allow for, the reducer decides again.
 	late := p.tooLateCheck(reducer.Effect{At: future}, written{conn: conn})
 	time.Sleep(maxWriteDelay + time.Millisecond)
 	if !late() {
-		t.Error("begun though it was held up")
+		t.Error("not too late after a longer delay")
 	}
 	<-p.inbox.wake
 	if items := p.inbox.takeAll(nil); len(items) != 1 || items[0] != (requestUnsent{conn}) {
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -1,6 +1,6 @@
-// Package transport is the proxy's sockets: it turns bytes into the reducer's events and carries
-// out the effects that the reducer asks for. One goroutine runs the reducer and never waits
-// for a socket; reading, writing and dialing happen round it, on netpoll.
+// Package transport is the proxy's socket layer. It turns bytes into the reducer's events and
+// executes the effects that the reducer returns. One goroutine runs the reducer and never waits for
+// a socket; reading, writing and dialing run on other goroutines, on netpoll.
 package transport
 
 import (
@@ -22,32 +22,36 @@
 	"lilacglade/internal/settings"
 )
 
-// Descriptors are budgeted apart, so that neither side can starve the other: some stay for
-// the listener, the poller and discovery, and of the rest callers get these parts.
+// File descriptors are divided between the two sides, so that neither can starve the other. Some
+// are reserved for the listener, the poller and discovery; clients and servers get the rest in the
+// ratio clientSocketShare : serverSocketShare.
 const (
 	reservedSockets   = 40
 	clientSocketShare = 5
 	serverSocketShare = 3
 )
 
-// idleParts of the keep-alive limit: an idle leg to a next hop is closed after one of them,
-// well before the other side closes it under a request's hands.
+// idleTimeoutDivisor divides the servers' keep-alive limit: an idle server connection is closed after that
+// fraction of it. Otherwise the server might close the connection while a request is being sent.
 const idleTimeoutDivisor = 4
 
-// continueWithin is how long a caller may take to read the leave to send its body.
+// continueTimeout limits how long a client may take to read a 100 Continue response.
 const continueTimeout = 10 * time.Second
 
-// heldWhileBusy bounds what a caller may send ahead while its request is being worked on: some
-// requests without much of a body.
+// maxPipelinedBytes limits what a client may send ahead while its request is being processed: a few
+// requests with small bodies.
 const maxPipelinedBytes = http1.MaxHead
 
-// mostEarly bounds the 1xx answers before the one that counts.
+// maxInterimResponses limits the 1xx responses before the final one.
 const maxInterimResponses = 8
 
-// recvBuffer is what the kernel keeps for a leg that is not read from. netpoll's own buffers grow with
-// what it finds there at a time.
+// receiveBufferSize is the kernel's receive buffer of a connection in bytes: what the kernel keeps
+// of a connection that is not being read. netpoll's own buffers grow with the amount they find
+// there at a time.
 const receiveBufferSize = http1.MaxBody
 
+// proxy is one running proxy: the reducer with its inbox, the connections and the listener. Its fields are
+// owned by the reducer's goroutine.
 type proxy struct {
 	settings settings.Settings
 	clock
@@ -60,57 +64,59 @@
 	clientConns       map[reducer.LegID]*connection
 	serverConns       map[reducer.LegID]*connection
 	timer             *time.Timer
-	adminServer       *admin.Door     // nil: operators can't call
+	adminServer       *admin.Door     // nil: no operator interface
 	socketShared      bool            // the listening socket is shared with other processes of this proxy
-	startAccepting    func()          // begins to take connections; nil once that is done
-	handoverWriter    *handoverWriter // nil: nothing is handed over
+	startAccepting    func()          // starts accepting connections; nil once that is done
+	handoverWriter    *handoverWriter // nil: no handover to a next process
 	buffers           bufferPool
 	limits            settings.Limits
-	staleClassesUntil time.Duration // until then classes that were dropped are taken
+	staleClassesUntil time.Duration // classes that a reload dropped are accepted until then
 	done              bool
-	peers             *peers.Node // nil: it talks to no other proxy
+	peers             *peers.Node // nil: this proxy has no peers
 	lastPublished     publishedLoad
 	observer          observer
 }
 
-// budget gives callers and next hops their parts of the descriptors.
+// connectionLimits returns the number of descriptors for clients and for servers.
 func connectionLimits(limits settings.Limits) (clients, servers int) {
 	sockets := limits.Sockets - reservedSockets
-	return sockets * clientSocketShare / (clientSocketShare + serverSocketShare), sockets * serverSocketShare / (clientSocketShare + serverSocketShare)
+	return sockets * clientSocketShare / (clientSocketShare + serverSocketShare),
+		sockets * serverSocketShare / (clientSocketShare + serverSocketShare)
 }
 
-// Reload is the outcome of reading a new configuration.
+// Reload is the result of reading a new configuration.
 type Reload struct {
 	Node settings.Node
-	Err  error // why it was turned down; nothing of it counts then
+	Err  error // why it was rejected; Node is then ignored
 }
 
-// Serve runs the proxy until ctx ends and all it has taken is answered. What comes from reloads
-// is a new configuration. Trace may be nil.
+// Serve runs the proxy until ctx ends and all accepted requests are answered. Each value from
+// reloads is a new configuration. Trace may be nil.
 func Serve(ctx context.Context, node settings.Node, reloads <-chan Reload,
 	trace reducer.Tracer) error {
 	return ServeWithOptions(ctx, node, reloads, Options{Trace: trace})
 }
 
-// Options are what a proxy may have besides.
+// Options are the optional parts of a proxy.
 type Options struct {
-	Decider reducer.Decider // in place of the decision module; nil: the module
-	Trace   reducer.Tracer  // nil: none
-	Peers   *peers.Config   // nil: it talks to no other proxy
+	Decider reducer.Decider // replaces the decision module; nil: the module
+	Trace   reducer.Tracer  // nil: no trace
+	Peers   *peers.Config   // nil: this proxy has no peers
 }
 
-// ServeWithOptions runs the proxy with options.
+// ServeWithOptions is Serve with options.
 func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, options Options) error {
 	p := &proxy{settings: node.Settings, clock: newClock(), inbox: newInbox(),
-		clientConns: map[reducer.LegID]*connection{}, serverConns: map[reducer.LegID]*connection{}, timer: time.NewTimer(0),
-		observer: newObserver(), decoder: new(serverlist.Decoder)}
+		clientConns: map[reducer.LegID]*connection{}, serverConns: map[reducer.LegID]*connection{},
+		timer: time.NewTimer(0), observer: newObserver(), decoder: new(serverlist.Decoder)}
 	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
 	maxClients, maxServers := connectionLimits(node.Limits)
 	var err error
 	p.socketShared = node.Passed != ""
 	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
 	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
-		MaxCallers: softClientLimit(maxClients), MaxHops: maxServers, IdleHops: p.settings.KeepAlive / idleTimeoutDivisor,
+		MaxCallers: softClientLimit(maxClients), MaxHops: maxServers,
+		IdleHops:  p.settings.KeepAlive / idleTimeoutDivisor,
 		Discovery: node.Discovery, Decider: options.Decider, Trace: options.Trace, Work: options.Peers != nil,
 		Figures: node.Admin != "" || options.Peers != nil}
 	if p.socketShared || !p.settings.AskForList {
@@ -141,8 +147,10 @@
 	if err != nil {
 		return err
 	}
-	if err := syscall.SetsockoptInt(socket.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize); err != nil {
-		log.Printf("the listening socket keeps its own buffer: %v", err) // no reason not to serve
+	if err := syscall.SetsockoptInt(socket.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
+		receiveBufferSize); err != nil {
+		// The proxy can serve without it.
+		log.Printf("can't set the receive buffer of the listening socket: %v", err)
 	}
 	ln := newListener(socket, maxClients)
 	p.listener, p.limits = ln, node.Limits
@@ -168,7 +176,7 @@
 		}
 	}()
 	if !p.takeOver(node) && !p.applyKnownList(node.Known) {
-		// Guards against a process that never asks, since it was never told anything.
+		// Without this first event the reducer would never ask discovery for a list.
 		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
 	}
 	log.Printf("%s serves on %s", node.Name, node.Listen)
@@ -181,7 +189,7 @@
 
 type connKey struct{}
 
-// accept returns netpoll's hook for a new connection.
+// onPrepare returns netpoll's hook for a new connection.
 func (p *proxy) onPrepare(ln *listener) netpoll.OnPrepare {
 	var lastID atomic.Uint64
 	return func(socket netpoll.Connection) context.Context {
@@ -198,7 +206,7 @@
 	return ctx.Value(connKey{}).(*connection).onRequest(ctx, socket)
 }
 
-// run is the reducer's goroutine.
+// run is the loop of the reducer's goroutine.
 func (p *proxy) run() error {
 	var items []any
 	for !p.done {
--- a/internal/transport/races_test.go
+++ b/internal/transport/races_test.go
@@ -17,23 +17,24 @@
 	"lilacglade/internal/settings"
 )
 
-// TestResetIsNoEnd guards against an answer without length that was cut off by a reset and is given to the
-// caller as whole, whoever has read the reset: at once, when it streams, when it is large, on a connection
-// of the library's and on a raw one; to callers who know chunks and to such as know none.
+// TestResetIsNotEndOfBody checks that a response without length that a reset truncates is not given
+// to the client as complete, whoever has read the reset: in a short response read at once, in one
+// that has started, in a large one, on a connection of the library and on a detached one; for
+// clients with and without support of chunks.
 func TestResetIsNotEndOfBody(t *testing.T) {
 	server := newFakeServer(t)
 	proxy := startProxy(t, readyList(1, server))
 	longBody := strings.Repeat("0123456789", 20000)
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		for _, body := range []string{"some", longBody} {
-			for _, phase := range []string{"at once", "begun", "raw"} {
+			for _, phase := range []string{"at once", "started", "detached"} {
 				for _, end := range []string{"end", "reset"} {
 					name := strings.Join([]string{version, phase, end, body[:4]}, " ")
 					client := proxy.connect()
 					client.send(strings.Replace(editRequest(name), "HTTP/1.1", version, 1))
 					serverConn := server.nextConn()
 					serverConn.request()
-					if phase == "raw" { // an answer that streams leaves the connection raw
+					if phase == "detached" { // a streamed response leaves the connection detached
 						serverConn.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n")
 						client.reader.Peek(1)
 						serverConn.send("0\r\n\r\n")
@@ -43,7 +44,7 @@
 						serverConn.request()
 					}
 					serverConn.send("HTTP/1.1 200 OK\r\n\r\n" + body)
-					if phase == "begun" {
+					if phase == "started" {
 						client.reader.Peek(1)
 					}
 					if end == "reset" {
@@ -56,7 +57,7 @@
 						t.Errorf("%s: got %d, %d bytes, %v", name, status, len(got), err)
 					}
 					if end == "reset" && status == 200 && err == nil {
-						t.Errorf("%s: %d bytes taken for the whole answer", name, len(got))
+						t.Errorf("%s: %d bytes accepted as the whole response", name, len(got))
 					}
 				}
 			}
@@ -64,15 +65,16 @@
 	}
 }
 
-// TestLastCallersAreTaken guards against ending while a caller has connected and the reducer's goroutine
-// does not know: here the proxy has let go of its last known caller, and the poller is held up.
+// TestLastClientsAreAccepted checks that the proxy doesn't exit while a client has connected and
+// the reducer has not been notified: here the proxy has closed its last known client connection,
+// and the poller is blocked.
 func TestLastClientsAreAccepted(t *testing.T) {
 	server := newFakeServer(t)
 	proxy := startProxy(t, readyList(1, server))
 	idle, serverConn := proxy.idleClient(server)
 	pollerBarrier.mu.Lock()
 	proxy.stop()
-	if _, err := idle.reader.Peek(1); err != io.EOF { // it was let go: nobody is left
+	if _, err := idle.reader.Peek(1); err != io.EOF { // it was closed: no client is left
 		t.Fatal(err)
 	}
 	last := proxy.connect()
@@ -86,8 +88,8 @@
 	proxy.awaitExit()
 }
 
-// TestAnswerOnAWatchGivenUp guards against losing the news that a watch brought in the moment in which it
-// was given up: they count as told. Not so those of a discovery that was left.
+// TestLateAnswerOfAbandonedWatch checks that an answer that arrives on a watch while the watch is
+// being abandoned counts as received. An answer of another discovery address doesn't.
 func TestLateAnswerOfAbandonedWatch(t *testing.T) {
 	for _, address := range []string{"here", "elsewhere"} {
 		p := &proxy{servers: serverlist.New(nil, nil, time.Now()),
@@ -100,10 +102,10 @@
 			}
 			return doc
 		}
-		set := lg.Settings{Balancers: 1, MaxAttempts: 1, AskForList: true,
+		settings := lg.Settings{Balancers: 1, MaxAttempts: 1, AskForList: true,
 			Classes: []lg.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}}}
 		var err error
-		if p.state, err = reducer.New(reducer.Config{Settings: set, Discovery: "here"}); err != nil {
+		if p.state, err = reducer.New(reducer.Config{Settings: settings, Discovery: "here"}); err != nil {
 			t.Fatal(err)
 		}
 		server := &fakeServer{addr: "127.0.0.1:1"}
@@ -116,8 +118,9 @@
 	}
 }
 
-// TestLeftWhileItWaited guards against sending on a request whose caller has left while there was no server
-// for it, whatever its size and however its connection is read. Of a large one the end must not come.
+// TestClientLeavesWhileRequestWaits checks that a request is not sent to a server once its client
+// has left while no server was available, whatever the request's size and however its connection is
+// read. The last bytes of a large request must not be sent.
 func TestClientLeavesWhileRequestWaits(t *testing.T) {
 	large := fmt.Sprintf("%d\r\n\r\n%s", 200_000, strings.Repeat("x", 200_000))
 	for name, request := range map[string]string{
@@ -133,11 +136,11 @@
 		client := proxy.connect()
 		client.send(request)
 		client.Close()
-		inProgress := []string{`node_handled{category="album-edit",outcome="bad_gateway"} 1`}
-		if name == "large" { // where nothing more is read, nothing tells that its caller has left
-			inProgress = append(inProgress, "node_in_progress 1")
+		wantMetrics := []string{`node_handled{category="album-edit",outcome="bad_gateway"} 1`}
+		if name == "large" { // not read any more, so nothing shows that the client has left
+			wantMetrics = append(wantMetrics, "node_in_progress 1")
 		}
-		proxy.awaitMetric(adminAddr, inProgress...)
+		proxy.awaitMetric(adminAddr, wantMetrics...)
 		discoveryConn.send(okResponse(readyList(2, server)))
 		other := proxy.connect()
 		other.send(editRequest("2"))
@@ -146,17 +149,17 @@
 			serverConn = server.nextConn()
 		}
 		if got != "2" {
-			t.Errorf("%s: request %s was sent on", name, got)
+			t.Errorf("%s: request %s was forwarded", name, got)
 			continue
 		}
 		serverConn.send(okResponse("two"))
 		other.answer()
 		proxy.stop()
-		proxy.awaitExit() // by now all that was to be sent has been
+		proxy.awaitExit() // by now everything that was to be sent has been sent
 		for last := serverConn; last != nil; {
 			if last.reader.Buffered() > 0 || !stdConnIdle(last.TCPConn) {
 				if id := last.tryRequestID(); id != "" {
-					t.Errorf("%s: request %s was sent on", name, id)
+					t.Errorf("%s: request %s was forwarded", name, id)
 				}
 			}
 			if last = nil; len(server.conns) > 0 {
@@ -166,8 +169,9 @@
 	}
 }
 
-// TestStopsAndLoadsCross covers a stop before anything has come, a stop before discovery has answered with a
-// request waiting, a second stop, and new configurations during a stop: what was taken is answered.
+// TestStopDuringReload covers a stop before anything has arrived, a stop before discovery has
+// answered with a request waiting, a second stop, and new configurations during a stop: accepted
+// requests are answered.
 func TestStopDuringReload(t *testing.T) {
 	proxy := startProxy(t, readyList(1))
 	proxy.stop()
@@ -180,13 +184,13 @@
 	head := strings.TrimSuffix(editRequest("1"), "abc")
 	client.send(strings.Replace(head, "Host: h", "Host: h\r\nExpect: 100-continue", 1))
 	if line, err := client.reader.ReadString('\n'); !strings.Contains(line, "100") {
-		t.Fatal(line, err) // the request is being taken
+		t.Fatal(line, err) // the request is being read
 	}
 	proxy.stop()
 	proxy.stop()
 	other := proxy.node
 	other.Discovery = newFakeServer(t).addr
-	proxy.reloads <- Reload{Err: errors.New("spoilt")}
+	proxy.reloads <- Reload{Err: errors.New("malformed")}
 	proxy.reloads <- Reload{Node: proxy.node}
 	client.reader.Discard(2)
 	client.send("abc")
@@ -201,8 +205,8 @@
 	proxy.awaitExit()
 }
 
-// TestNoDelay guards against small writes that the system holds back, and which go with a reset: on the
-// connections of callers, to servers and to discovery.
+// TestNoDelay checks that the system doesn't hold back small writes, which a reset would discard:
+// on the connections of clients, to servers and to discovery.
 func TestNoDelay(t *testing.T) {
 	server := newFakeServer(t)
 	proxy := startProxy(t, readyList(1, server))
@@ -211,7 +215,8 @@
 	client.send(editRequest("1"))
 	serverConn := server.nextConn()
 	serverConn.request()
-	for name, other := range map[string]*scriptedConn{"caller": client, "server": serverConn, "discovery": discoveryConn} {
+	for name, other := range map[string]*scriptedConn{"client": client, "server": serverConn,
+		"discovery": discoveryConn} {
 		if !noDelay(t, other.LocalAddr()) {
 			t.Errorf("%s: what is written may be held back", name)
 		}
@@ -220,24 +225,25 @@
 	client.answer()
 }
 
-// noDelay tells whether the one connection of this process whose other side is at that address is not held
-// back.
+// noDelay reports whether TCP_NODELAY is set on the one connection of this process whose other side
+// has that address.
 func noDelay(t *testing.T, other net.Addr) bool {
 	t.Helper()
 	for fd := range 1024 {
-		sa, err := syscall.Getpeername(fd)
-		if in, ok := sa.(*syscall.SockaddrInet4); err == nil && ok &&
-			netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String() == other.String() {
-			v, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
-			return err == nil && v != 0
+		peerAddr, err := syscall.Getpeername(fd)
+		if inet4, ok := peerAddr.(*syscall.SockaddrInet4); err == nil && ok &&
+			netip.AddrPortFrom(netip.AddrFrom4(inet4.Addr), uint16(inet4.Port)).String() == other.String() {
+			value, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+			return err == nil && value != 0
 		}
 	}
 	t.Fatalf("no connection with %v", other)
 	return false
 }
 
-// TestNothingIsTakenAfterTheEnd guards against sending on what a caller brings on a connection that was let
-// go: it sees the end, and asks again elsewhere.
+// TestNoRequestAfterClose checks that a request that a client sends on a connection that the proxy
+// has closed is not sent on: the client sees the end of the connection and sends it again
+// elsewhere.
 func TestNoRequestAfterClose(t *testing.T) {
 	server := newFakeServer(t)
 	proxy := startProxy(t, readyList(1, server))
@@ -256,28 +262,29 @@
 	}
 	proxy.awaitExit()
 	if len(server.conns) > 0 || serverConn.reader.Buffered() > 0 || !stdConnIdle(serverConn.TCPConn) {
-		t.Error("what came after the end was sent on")
+		t.Error("a request after the close was forwarded")
 	}
 }
 
-// TestClientThatLeftGetsNoAttempt holds that no attempt begins for a client whose end the kernel has and the
-// reducer has not heard of: here the end crosses the coming up of the connection that its request waits for.
+// TestClientThatLeftGetsNoAttempt checks that no attempt begins for a client that has closed its
+// connection when the kernel knows of it and the reducer doesn't: this happens if the client closes
+// it while the server connection that its request waits for opens.
 func TestClientThatLeftGetsNoAttempt(t *testing.T) {
 	conn, other := openServerConn(t)
 	conn.isClient = true
 	if conn.hungUp() {
-		t.Error("left while it was there")
+		t.Error("reported as closed while it is open")
 	}
 	if err := other.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(testTimeout); !conn.hungUp(); {
 		if time.Now().After(end) {
-			t.Fatal("its end was never seen")
+			t.Fatal("its end was never detected")
 		}
 	}
 	conn.close()
 	if !conn.hungUp() {
-		t.Error("there though it was closed here")
+		t.Error("reported as open after it was closed")
 	}
 }
--- a/internal/transport/release.go
+++ b/internal/transport/release.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// elapsed is how far the proxy's clock has come since its start. Only test builds have clocks that run
-// wrong.
+// scaleElapsed returns how far the proxy's clock has advanced since its start. Only test builds
+// have clocks that run at another rate.
 func scaleElapsed(since time.Duration) time.Duration { return since }
 
-// lasting is the reverse of elapsed.
+// unscaleElapsed is the inverse of scaleElapsed.
 func unscaleElapsed(elapsed time.Duration) time.Duration { return elapsed }
--- a/internal/transport/rig.go
+++ b/internal/transport/rig.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// clockRate is how fast the proxy's clock runs, in a test of clocks that run apart; 1: right.
+// clockRate is the rate of the proxy's clock, for tests of clocks that drift apart; 1 is the
+// correct rate.
 var clockRate = func() float64 {
 	if v, err := strconv.ParseFloat(os.Getenv("RIG_CLOCK"), 64); err == nil && v > 0 {
 		return v
@@ -16,12 +17,12 @@
 	return 1
 }()
 
-// elapsed is how far the proxy's clock has come since its start.
+// scaleElapsed returns how far the proxy's clock has advanced since its start.
 func scaleElapsed(since time.Duration) time.Duration {
 	return time.Duration(clockRate * float64(since))
 }
 
-// lasting is the reverse of elapsed.
+// unscaleElapsed is the inverse of scaleElapsed.
 func unscaleElapsed(elapsed time.Duration) time.Duration {
 	return time.Duration(float64(elapsed) / clockRate)
 }
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -6,8 +6,8 @@
 	"lilacglade/internal/reducer"
 )
 
-// readHop looks for the answer on a hop leg. Whatever is not the one answer that is owed makes
-// the leg unfit: the next request could take it for its own.
+// readServer looks for the response on a server connection. Any other data makes the connection
+// unusable: the next request could take it for its response.
 func (p *proxy) readServer(conn *connection, truncated bool) {
 	if !conn.busy {
 		if conn.parser.Partial() {
@@ -29,7 +29,7 @@
 		p.finishResponse(conn, responseEvent(&p.settings, conn.id, message, !conn.parser.Partial() && !truncated))
 	case conn.parser.Large() && !conn.isDetached:
 		conn.requestDetach(false)
-	case conn.parser.Large() && conn.readPending: // whose bytes come first
+	case conn.parser.Large() && conn.readPending: // the bytes of the pending read come first
 		conn.interruptRead()
 	case conn.parser.Large():
 		p.startDownload(conn)
@@ -39,7 +39,8 @@
 	}
 }
 
-// answered takes in that a hop leg owes nothing any more. What is still being passed on to it is stopped.
+// finishResponse handles the end of the pending response of a server connection. An upload that is
+// still being written to it is stopped.
 func (p *proxy) finishResponse(conn *connection, event reducer.HopAnswered) {
 	conn.busy = false
 	if conn.upload != nil {
@@ -48,19 +49,19 @@
 	p.step(event)
 }
 
-// download begins to pass on an answer whose body is large.
+// startDownload starts to stream a response whose body is large.
 func (p *proxy) startDownload(conn *connection) {
 	message, body, rest := conn.parser.Stream()
 	event := responseEvent(&p.settings, conn.id, message, len(rest) == 0)
 	early := conn.upload != nil && !conn.upload.complete
 	if body.Done || event.Result != lg.OK || early {
-		if !body.Done || early { // one that comes before its request is whole is not passed on either
+		if !body.Done || early { // a response to an incomplete request is not streamed either
 			event = reducer.HopAnswered{Leg: conn.id, Result: lg.ServerError, Load: event.Load}
 		}
 		p.finishResponse(conn, event)
 		return
 	}
 	conn.busy, conn.streaming = false, true
-	p.step(reducer.HopStreams{Leg: conn.id, Load: event.Load, Payload: &bodyStream{message: message, source: conn, length: body.Known(),
-		buffers: p.buffers, body: body}})
+	p.step(reducer.HopStreams{Leg: conn.id, Load: event.Load, Payload: &bodyStream{message: message,
+		source: conn, length: body.Known(), buffers: p.buffers, body: body}})
 }
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -11,32 +11,35 @@
 	"lilacglade/internal/http1"
 )
 
-// Times of bodies that are passed on as they come.
+// Time limits of streamed bodies.
 const (
-	uploadPauseBudget = 2 * time.Second  // a caller may rest so long altogether,
-	minUploadRate     = 48 << 10         // brings at least so many bytes a second beside,
-	maxUploadPause    = 2 * time.Second  // and never rests for longer than this, however much it brought before
-	stallTimeout      = 10 * time.Second // a side that takes or gives nothing for so long has broken off
+	uploadPauseBudget = 2 * time.Second  // total time that a client may pause,
+	minUploadRate     = 48 << 10         // bytes per second: each byte received adds to that time,
+	maxUploadPause    = 2 * time.Second  // limit of one pause, whatever was received before
+	stallTimeout      = 10 * time.Second // a side that reads or sends nothing for so long has failed
 )
 
-// windowSize is what one body may have between its two legs beyond what was there when it began to be
-// passed on.
+// streamBufferSize is the number of bytes that one body may have in transit between its two
+// connections, beyond what had arrived before streaming began.
 const streamBufferSize = 32 << 10
 
-// windows bounds what all bodies together have between their legs. A body waits for its window.
+// bufferPool limits the bytes in transit of all bodies together. A body waits for its buffer.
 type bufferPool chan []byte
 
-// windowParts of the memory limit may be in windows.
+// streamMemoryDivisor divides the memory limit: the buffers of the pool may take that fraction of
+// it.
 const streamMemoryDivisor = 8
 
+// newBufferPool returns the pool for a memory limit in bytes.
 func newBufferPool(memory int64) bufferPool {
 	pool := make(bufferPool, max(4, memory/streamMemoryDivisor/streamBufferSize))
 	for range cap(pool) {
-		pool <- nil // made when it is first used
+		pool <- nil // allocated when it is first used
 	}
 	return pool
 }
 
+// get waits for a buffer.
 func (pool bufferPool) get() []byte {
 	if buffer := <-pool; buffer != nil {
 		return buffer
@@ -44,46 +47,46 @@
 	return make([]byte, streamBufferSize)
 }
 
-// flow is a body that is passed on from one leg to another as it comes. It can begin anew for as long as
-// nothing behind what its message holds has been read.
+// bodyStream is a body that is copied from one connection to another as it arrives. It can be sent
+// again for as long as nothing beyond its message's part of the body has been read.
 type bodyStream struct {
-	message  *http1.Message // with the part of the body that had come when it was found to be large
+	message  *http1.Message // with the part of the body that had arrived when it was found to be large
 	source   *connection
-	length   int64 // of the body, -1 when it is not known
+	length   int64 // of the body in bytes, -1 when it is not known
 	buffers  bufferPool
 	isUpload bool
-	complete bool // the reducer knows that its last byte has come
-	http10   bool // who gets it knows no chunks: the end of the connection is the end of the body
+	complete bool // the reducer knows that its last byte has arrived
+	http10   bool // the receiver doesn't support chunks: the end of the connection is the end of the body
 
-	running sync.Mutex // held while it is being passed on
+	running sync.Mutex // held while it is being copied
 	body    http1.Body // decodes what follows
 	readBudget
 	mu          sync.Mutex
-	destination *connection // who gets it now, nil when it was stopped
-	consumed    bool        // it can't begin anew
+	destination *connection // who receives it now, nil once it was stopped
+	consumed    bool        // it can't be sent again
 }
 
-// rests measures how long a caller was waited for.
+// readBudget measures how long a client was waited for.
 type readBudget struct {
 	waited   time.Duration
 	received int64
 }
 
-// by is when the next bytes must have come.
+// readDeadline is the time by which the next bytes must have arrived.
 func (r *readBudget) readDeadline(now time.Time) time.Time {
 	allowance := uploadPauseBudget + time.Duration(r.received)*time.Second/minUploadRate
 	return now.Add(max(0, min(allowance-r.waited, maxUploadPause)))
 }
 
-// aim has the body passed on to a leg from now on.
+// setDestination sets the connection that the body is copied to from now on.
 func (s *bodyStream) setDestination(destination *connection) {
 	s.mu.Lock()
 	s.destination = destination
 	s.mu.Unlock()
 }
 
-// stop ends the passing on, unless it goes to another leg by now, and tells whether the body can't
-// begin anew. What is read after this is kept.
+// stop ends copying to a connection, unless another one is the destination by now, and reports
+// whether the body can't be sent again. Bytes that are read after this are kept.
 func (s *bodyStream) stop(destination *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +97,15 @@
 	return s.consumed
 }
 
-// spent tells whether the body can't begin anew.
+// isConsumed reports whether the body can't be sent again.
 func (s *bodyStream) isConsumed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.consumed
 }
 
-// wanted tells whether the leg still gets the body; if so and it was read from, it can't begin anew.
+// isDestination reports whether the body still goes to that connection. If so and consumed is true,
+// the body can't be sent again.
 func (s *bodyStream) isDestination(destination *connection, consumed bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,22 +113,23 @@
 	return s.destination == destination
 }
 
-// What ends the passing on of a body.
+// Reasons for which copying a body ends.
 var (
 	errStopped    = errors.New("stopped")
-	errReceiver   = errors.New("the side that gets it broke off")
-	errClientLeft = errors.New("its caller has left")
+	errReceiver   = errors.New("the receiver failed")
+	errClientLeft = errors.New("the client has left")
 )
 
-// left tells whether who brought a request has left. While the request waits nothing is read that would
-// tell, and its body may fill what the kernel keeps, so it is asked before the first byte and before the
-// last: until that has come, a next hop does nothing.
+// clientHungUp reports whether the client of an upload has closed its connection. While a request
+// waits nothing is read that would show it, and its body may fill the kernel's buffer, so it is
+// checked before the first byte and before the last: a server doesn't start before it has that one.
 func (s *bodyStream) clientHungUp() bool { return s.isUpload && stdConnHungUp(s.source.stdConn) }
 
-// pass writes a head, what is there of the body and then the rest as it comes. It returns errStopped,
-// errTaker, or what went wrong at the side that gives it; and what had come behind the body. Whole is
-// called when the last byte has come.
-func (s *bodyStream) copyTo(destination *connection, head [][]byte, onComplete func()) (leftover []byte, _ error) {
+// copyTo writes a head, the part of the body that has arrived and then the rest as it arrives. It
+// returns errStopped, errReceiver, errClientLeft, or the error of the source; and the bytes that
+// followed the body. It calls onComplete when the last byte has arrived.
+func (s *bodyStream) copyTo(destination *connection, head [][]byte, onComplete func()) (
+	leftover []byte, _ error) {
 	s.running.Lock()
 	defer s.running.Unlock()
 	switch {
@@ -171,7 +176,7 @@
 		if n == 0 && err != nil {
 			return nil, err
 		}
-		// What belongs to the body is moved together: an answer to a caller who sends small chunks is not
+		// The body bytes of one read are sent together: a body that arrives in small chunks is not
 		// written in as many pieces.
 		data, input := buffer[:0], buffer[:n]
 		for len(input) > 0 && !s.body.Done {
@@ -205,7 +210,7 @@
 	return leftover, nil
 }
 
-// read reads from the side that gives the body.
+// readSource reads from the connection that the body comes from.
 func (s *bodyStream) readSource(destination *connection, buffer []byte) (int, error) {
 	now := time.Now()
 	deadline := now.Add(stallTimeout)
--- a/internal/transport/streaming.go
+++ b/internal/transport/streaming.go
@@ -9,7 +9,7 @@
 	"lilacglade/internal/reducer"
 )
 
-// passedOn takes in that a flow has ended, at a leg that got it.
+// finishStream handles the end of a bodyStream, at the connection that received it.
 func (p *proxy) finishStream(result written) {
 	destination, stream, ok, leftover := result.conn, result.stream, result.err == nil, result.leftover
 	source := stream.source
@@ -35,7 +35,8 @@
 	p.step(reducer.HopWritten{Leg: destination.id, OK: ok, Gone: consumed})
 }
 
-// pass passes a flow on to a leg, on the goroutine that writes on that leg.
+// streamJob returns the job that copies a bodyStream to a connection. It runs on the goroutine that
+// writes on that connection.
 func (p *proxy) streamJob(stream *bodyStream, destination *connection, head [][]byte) writeJob {
 	stream.setDestination(destination)
 	return writeJob{stream: func() {
--- a/internal/transport/watcher.go
+++ b/internal/transport/watcher.go
@@ -13,10 +13,11 @@
 	"lilacglade/internal/serverlist"
 )
 
-// connectWithin is how long a connection to discovery may take to come up.
+// discoveryConnectTimeout limits how long a connection to discovery may take to open.
 const discoveryConnectTimeout = 3 * time.Second
 
-// giveUpSlack is how much later than the reducer, which ends them in the order of events, a call ends itself.
+// callTimeoutSlack is added to the deadline of a call. The reducer times calls out in the order of
+// events; a call ends itself this much later.
 const callTimeoutSlack = time.Second
 
 // call is one call to discovery.
@@ -25,25 +26,26 @@
 	deadline time.Duration // on the proxy's clock
 }
 
-// watcher calls discovery at one address, one call at a time on a connection that it keeps.
+// watcher calls discovery at one address, one call at a time, on a persistent connection.
 type watcher struct {
 	address   string
 	inbox     *inbox
 	clock     clock
 	decoder   *serverlist.Decoder
 	calls     chan call
-	conn      netpollConn // opened and closed by run alone
-	callCount uint64      // of the last call that it made
+	conn      netpollConn // opened and closed by run only
+	callCount uint64      // calls made so far, the current one included
 
 	mu      sync.Mutex
 	stopped bool
 }
 
+// newWatcher returns a watcher; run starts it.
 func newWatcher(address string, inbox *inbox, clock clock, decoder *serverlist.Decoder) *watcher {
 	return &watcher{address: address, inbox: inbox, clock: clock, decoder: decoder, calls: make(chan call, 1)}
 }
 
-// ask wants a call made. One that is not yet begun is replaced.
+// request queues a call. It replaces one that has not started yet.
 func (w *watcher) request(next call) {
 	select {
 	case <-w.calls:
@@ -52,22 +54,23 @@
 	w.calls <- next
 }
 
-// stop ends the call that is out, and with it the watcher. The connection is only shut down
-// here: to close it frees the buffers that run may be reading from.
+// stop ends the current call and the watcher. It only shuts the connection down: closing it would
+// free the buffers that run may be reading from.
 func (w *watcher) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 	select {
-	case <-w.calls: // not begun yet
+	case <-w.calls: // not started yet
 	default:
 	}
 	close(w.calls)
 	if descriptor, ok := w.conn.(netpoll.Conn); ok {
-		_ = syscall.Shutdown(descriptor.Fd(), syscall.SHUT_RDWR) // one that broke meanwhile ends by itself
+		_ = syscall.Shutdown(descriptor.Fd(), syscall.SHUT_RDWR) // a connection that broke meanwhile ends by itself
 	}
 }
 
+// run makes the queued calls one by one, and posts the result of each, until the watcher is stopped.
 func (w *watcher) run() {
 	for next := range w.calls {
 		w.callCount++
@@ -76,8 +79,9 @@
 		if err != nil {
 			w.setConn(nil)
 		}
-		result := listDocument{from: w, err: err, size: len(raw), callNumber: w.callCount, duration: time.Since(start)}
-		if err == nil { // here and not in the reducer, which it would hold up
+		result := listDocument{from: w, err: err, size: len(raw), callNumber: w.callCount,
+			duration: time.Since(start)}
+		if err == nil { // decoded here: in the reducer's goroutine it would delay requests
 			received := time.Now()
 			result.list, result.err = w.decoder.Decode(raw)
 			result.malformed, result.decodeTime = result.err != nil, time.Since(received)
@@ -87,7 +91,8 @@
 	w.setConn(nil)
 }
 
-// hold closes the connection and keeps the given one, unless the watcher was stopped.
+// setConn closes the current connection and stores the given one, unless the watcher was stopped.
+// It reports whether there is a connection.
 func (w *watcher) setConn(conn netpollConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,7 +106,7 @@
 	return w.conn != nil
 }
 
-// do makes one call.
+// roundTrip makes one call.
 func (w *watcher) roundTrip(next call) ([]byte, error) {
 	if w.conn == nil || !w.conn.IsActive() {
 		conn, err := dial(w.address, min(discoveryConnectTimeout, w.clock.until(next.deadline)))
@@ -109,7 +114,7 @@
 			return nil, err
 		}
 		if !w.setConn(conn) {
-			return nil, errors.New("given up")
+			return nil, errors.New("the watcher was stopped")
 		}
 	}
 	w.inbox.post(discoveryConnected{w})
@@ -126,7 +131,7 @@
 		return nil, err
 	}
 	if message.Status != 200 {
-		return nil, fmt.Errorf("status %d to %s", message.Status, next.target)
+		return nil, fmt.Errorf("status %d for %s", message.Status, next.target)
 	}
 	if message.Close {
 		w.setConn(nil)
@@ -134,6 +139,7 @@
 	return message.Body, nil
 }
 
+// readResponse reads the response to a call.
 func (w *watcher) readResponse(deadline time.Duration) (*http1.Message, error) {
 	parser := http1.Parser{Responses: true}
 	for {
@@ -155,13 +161,13 @@
 	}
 }
 
-// reset tells whether the connection did not end in good order.
+// wasReset reports whether the connection was reset instead of closed in good order.
 func (w *watcher) wasReset() bool {
 	descriptor, ok := w.conn.(netpoll.Conn)
 	return !ok || wasReset(descriptor.Fd())
 }
 
-// more waits for the next bytes.
+// readMore waits for the next bytes.
 func (w *watcher) readMore(deadline time.Duration) ([]byte, error) {
 	if err := awaitReadable(w.conn, w.clock.until(deadline)); err != nil {
 		return nil, err
@@ -174,7 +180,7 @@
 	return data, reader.Release()
 }
 
-// rest reads the rest of a large answer.
+// readBody reads the rest of a large response.
 func (w *watcher) readBody(parser *http1.Parser, deadline time.Duration) (*http1.Message, error) {
 	message, body, _ := parser.Stream()
 	for !body.Done {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -14,14 +14,14 @@
 	"lilacglade/internal/transient"
 )
 
-// Pauses between tries of a write that the system could not do for the moment.
+// Delays between attempts of a write or a dial that failed for a transient reason.
 const (
 	initialRetryDelay = 200 * time.Microsecond
 	maxRetryDelay     = 10 * time.Millisecond
 )
 
-// send writes the slices in order. It waits until they are written, so long at most, or until the leg is
-// gone.
+// send writes the buffers in order. It waits until they are written, for timeout at most, or until
+// the connection is closed.
 func (c *connection) send(buffers [][]byte, timeout time.Duration) error {
 	if timeout <= 0 {
 		return errDeadlinePassed
@@ -36,8 +36,8 @@
 	}
 }
 
-// sendOnce writes as much as can be written, and takes it from rest. An error that passes may be followed by
-// another try.
+// trySend writes as much as possible and removes it from remaining. After a transient error it may
+// be called again.
 func (c *connection) trySend(remaining *[][]byte, deadline time.Time) error {
 	c.mu.Lock()
 	if c.detaching && !c.buffersFreed { // being detached
@@ -66,15 +66,15 @@
 	return err
 }
 
-// writeNow writes what the kernel takes at once, past the library, which ends a connection at an error that
-// passes. EAGAIN says that the kernel takes no more for now. The caller holds g.mu, so that the descriptor
-// is still the connection's.
+// writeNonblocking writes what the kernel accepts at once. It bypasses the library, which closes a
+// connection at a transient error. EAGAIN means that the kernel accepts no more for now. The caller
+// holds c.mu, so that the descriptor is still the connection's.
 func (c *connection) writeNonblocking(remaining *[][]byte) error {
 	descriptor, ok := c.socket.(netpoll.Conn)
 	if !ok || c.buffersFreed || !c.socket.IsActive() {
 		return net.ErrClosed
 	}
-	if c.bufferedBytes > 0 { // what went to the library before comes first
+	if c.bufferedBytes > 0 { // what the library has buffered comes first
 		return nil
 	}
 	for len(*remaining) > 0 {
@@ -91,12 +91,12 @@
 	return nil
 }
 
-// mostSlices are handed to the kernel at a time.
+// maxVectors limits the buffers of one sendmsg call.
 const maxVectors = 16
 
-// sendNow hands slices to the kernel. The call never waits, and is made without telling the scheduler: with
-// one processor another goroutine would go on first, and the reducer would hear of the client's next request
-// before it hears that this answer was written.
+// sendmsg passes buffers to the kernel. The call never waits, and is made without notifying the
+// scheduler: with one processor another goroutine would run first, and the reducer would receive
+// the client's next request before it is notified that this answer was written.
 func sendmsg(fd int, buffers [][]byte) (int, error) {
 	var vectors [maxVectors]unix.Iovec
 	count := 0
@@ -122,7 +122,7 @@
 	return int(n), nil
 }
 
-// without is slices less their first bytes. It leaves the given ones as they are.
+// skipBytes returns the buffers without their first n bytes. It doesn't modify the given ones.
 func skipBytes(buffers [][]byte, n int) [][]byte {
 	for len(buffers) > 0 && n >= len(buffers[0]) {
 		n -= len(buffers[0])
@@ -134,7 +134,7 @@
 	return buffers
 }
 
-// fill puts the slices into the library's buffer. The caller holds g.mu.
+// bufferWrite copies the buffers into the library's buffer. The caller holds c.mu.
 func (c *connection) bufferWrite(buffers [][]byte) error {
 	if c.buffersFreed || !c.socket.IsActive() {
 		return net.ErrClosed
@@ -148,12 +148,13 @@
 	return nil
 }
 
-// sendRaw writes to a connection of the standard library, and takes what was written from rest.
+// sendStd writes to a connection of the standard library, and removes what was written from
+// remaining.
 func sendStd(conn net.Conn, remaining *[][]byte, deadline time.Time) error {
 	if err := conn.SetWriteDeadline(deadline); err != nil {
 		return err
 	}
-	buffers := net.Buffers(slices.Clone(*remaining)) // what it has written it takes out of them
+	buffers := net.Buffers(slices.Clone(*remaining)) // WriteTo removes what it has written
 	_, err := buffers.WriteTo(conn)
 	*remaining = buffers
 	return err
