--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -90,7 +90,7 @@
 		l.failingSince = now
 	}
 	if suppressed, ok := l.logLimiter.Allow(now.Sub(l.started)); ok {
-		log.Printf("can't accept a connection: %v (%d more since the last line)", err, suppressed)
+		log.Printf("a connection can't be accepted now: %v (%d more since the last line)", err, suppressed)
 	}
 	time.Sleep(acceptRetryDelay)
 	if !readable(l.Fd()) { // the error concerned a connection that is gone by now
