--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool keeps the connections to next hops (legs): which exist, which is given to a branch,
-// which are opened and which closed. It is pure: methods take the absolute time where they need it
-// and leave what is to be done in Acts, in its order. It knows neither requests nor protocols; a
-// branch is a ticket to it.
+// Package pool manages the proxy's connections to servers: which exist, which one an attempt gets, and
+// when one is opened or closed. It is pure: methods take the current time as a duration since the start
+// of the proxy's clock, and append what is to be done to Actions, in order. It knows neither requests
+// nor protocols; an attempt is an opaque ticket to it.
 package pool
 
 import (
@@ -12,576 +12,586 @@
 	lg "lilacglade"
 )
 
-// ConnID numbers a leg. Numbers are never used twice.
+// ConnID numbers a connection. Numbers are never reused.
 type ConnID uint64
 
-// Config is what a Pool knows from its start on.
+// Config is the fixed configuration of a Pool.
 type Config struct {
-	MaxConns    int           // legs held at once, over all next hops
-	IdleTimeout time.Duration // an idle leg is closed after this at the latest
-	// What the lab plays beside the pool's own ways; the proxy leaves all of it out.
+	MaxConns    int           // connections held at once, over all servers
+	IdleTimeout time.Duration // upper limit on how long a connection stays idle before it is closed
+	// The remaining fields select pool policies that the lab compares; the proxy leaves them at zero.
 	Order        Order
-	Eager        bool // each branch that finds no idle leg has one opened
-	NoLearning   bool // nothing is learned of legs dropped in silence, nor of openings that fail
-	MaxPerServer int  // legs of a next hop at most; 0: no such bound
+	Eager        bool // an attempt that finds no idle connection always has one opened
+	NoLearning   bool // nothing is learned from connections dropped silently, nor from failed openings
+	MaxPerServer int  // connections to one server; 0: no such limit
 }
 
-// Order is the order in which idle legs are used again.
+// Order is the order in which idle connections are reused.
 type Order uint8
 
-// The orders. Newest first keeps a small hot set and lets the rest age out.
+// The reuse orders. Newest first keeps a small set of connections in use and lets the others expire.
 const (
 	Newest Order = iota
 	Oldest
 	LeastUsed
 )
 
-// ActionKind says what an Act asks for.
+// ActionKind is what an Action asks for.
 type ActionKind uint8
 
-// The acts.
+// The kinds of actions.
 const (
-	Open   ActionKind = iota // open Conn; Opened follows, or Drop. Ticket waits for it, zero when ahead
-	Close                    // close Leg, which the pool has forgotten
-	Assign                   // Leg is Ticket's until Free, Drop or Lost
-	Refuse                   // Ticket gets no leg: it can't be opened, or its next hop takes nothing new
+	Open   ActionKind = iota // open Conn; Opened or Drop follows. Ticket waits for it, zero if opened ahead
+	Close                    // close Conn, which the pool has already removed
+	Assign                   // Conn belongs to Ticket until Release, ReleaseUnused, Drop or PeerClosed
+	Refuse                   // Ticket gets no connection: none can be opened, or its server takes nothing new
 )
 
-// OpenResult is how the opening of a leg went.
+// OpenResult is the result of opening a connection.
 type OpenResult uint8
 
-// The ways. A LocalFault is this machine's own: it says nothing of the next hop.
+// The results. A local fault is one of the proxy's own host, and no evidence against the server.
 const (
 	OpenFailed OpenResult = iota
 	OpenOK
 	OpenLocalFault
 )
 
-// Action is something to be done. Which fields count depends on Do.
+// Action is something that the pool's owner has to do. Kind determines which fields are set.
 type Action[T comparable] struct {
 	Kind       ActionKind
 	Conn       *Conn[T]
 	Ticket     T
-	LocalFault bool // Refuse: for a fault of this machine
+	LocalFault bool // Refuse: the cause is a fault of the proxy's own host
 }
 
-// phase is where a leg stands.
+// phase is the state of a connection's lifecycle.
 type phase uint8
 
 const (
 	opening phase = iota
-	fresh         // just come up
+	opened        // established, neither assigned nor idle yet
 	idle
-	given
+	assigned
 	closed
 )
 
-// Conn is a connection to a next hop.
+// Conn is a connection to a server.
 type Conn[T comparable] struct {
 	ID      ConnID
 	Server  *Server[T]
-	IdleFor time.Duration // how long it was idle before it was given the last time; 0 when just opened
+	IdleFor time.Duration // how long it had been idle when it was last assigned; 0 if just opened
 	phase   phase
 	since   time.Duration // start of the phase
-	uses    int
+	uses    int           // how often it was assigned
 }
 
-// State is what the server list says of the next hop.
-func (h *Server[T]) State() lg.State { return h.state }
+// State is the server's state according to the server list.
+func (s *Server[T]) State() lg.State { return s.state }
 
-// Opening tells whether it has not come up yet.
-func (l *Conn[T]) Opening() bool { return l.phase == opening }
+// Opening reports whether the connection is not established yet.
+func (c *Conn[T]) Opening() bool { return c.phase == opening }
 
-// Idle tells whether it is nobody's.
-func (l *Conn[T]) Idle() bool { return l.phase == idle }
+// Idle reports whether the connection is idle.
+func (c *Conn[T]) Idle() bool { return c.phase == idle }
 
-// Server is a next hop.
+// Server is a server with its connections and the attempts that wait for one.
 type Server[T comparable] struct {
-	ID      lg.ServerID
-	state   lg.State
-	idle    []*Conn[T] // newest last
-	waiting []T        // oldest first
-	opening int
-	rest    rest
-	doubted *Conn[T] // given although it has rested for longer than is proved
-
-	answered time.Duration // when it last answered, on any leg
-	legs     int           // of its, being opened or open
-	pace     pace
-	cap      int           // legs that it seems to accept from here; 0: not known
-	capAt    time.Duration // when that was last learned or raised
-	Counts   Counts
-	openAt   time.Duration // none is opened before
-	backoff  time.Duration // the wait that led to it
-}
-
-// Pool is the legs to all next hops. New makes one; one goroutine owns it.
+	ID           lg.ServerID
+	state        lg.State
+	idle         []*Conn[T] // most recently used last
+	waiting      []T        // oldest first
+	opening      int        // connections being opened
+	liveness     liveness
+	suspectInUse *Conn[T] // assigned although it had been idle for longer than is proven safe; nil: none
+
+	lastAnswer  time.Duration // time of the last answer on any connection
+	conns       int           // connections, being opened or open
+	demand      demand
+	connLimit   int           // connections that the server seems to accept from this proxy; 0: not known
+	connLimitAt time.Duration // when connLimit was last learned or raised
+	Counts      Counts
+	openAfter   time.Duration // no connection is opened before this time
+	backoff     time.Duration // the delay after which openAfter was set
+}
+
+// Pool holds the connections to all servers. Create it with New; it must be used by one goroutine only.
 type Pool[T comparable] struct {
-	Actions []Action[T] // to be done; whoever does them empties it
-	cfg     Config
-	hops    map[lg.ServerID]*Server[T]
-	legs    int
-	last    ConnID
-	trust   trust
-	limit   time.Duration // an idle leg is closed after this, as far as is known
+	Actions   []Action[T] // pending actions; the owner carries them out and empties the slice
+	cfg       Config
+	servers   map[lg.ServerID]*Server[T]
+	conns     int // connections, being opened or open, over all servers
+	lastID    ConnID
+	histogram idleHistogram
+	idleLimit time.Duration // an idle connection is closed after this, as learned over all servers
 
-	fresh   float64    // legs lost lately that had hardly rested
-	lostHop *Server[T] // the next hop that last lost a rested leg, and when
-	lostAt  time.Duration
+	freshLosses    float64    // decaying count of connections lost with almost no idle time before
+	lastLossServer *Server[T] // the server that last lost a connection after an idle period
+	lastLossAt     time.Duration
 }
 
 // New returns an empty Pool.
 func New[T comparable](cfg Config) *Pool[T] {
-	return &Pool[T]{cfg: cfg, hops: map[lg.ServerID]*Server[T]{}, limit: cfg.IdleTimeout}
+	return &Pool[T]{cfg: cfg, servers: map[lg.ServerID]*Server[T]{}, idleLimit: cfg.IdleTimeout}
 }
 
-// SetMaxConns sets how many legs may be held at once from now on. Idle ones beyond are closed at once, the
-// longest idle first.
-func (p *Pool[T]) SetMaxConns(most int) {
-	p.cfg.MaxConns = most
-	for held := p.legs + 1; p.legs > most && p.legs < held; {
-		held = p.legs
-		p.room()
+// SetMaxConns changes how many connections may be held at once. Idle connections beyond that are closed
+// immediately, longest idle first.
+func (p *Pool[T]) SetMaxConns(limit int) {
+	p.cfg.MaxConns = limit
+	for held := p.conns + 1; p.conns > limit && p.conns < held; {
+		held = p.conns
+		p.ensureSlot()
 	}
 }
 
-// Server is a next hop; one that the server list does not name takes nothing.
+// Server returns a server; one that is not in the server list is returned as gone.
 func (p *Pool[T]) Server(id lg.ServerID) *Server[T] {
-	if h := p.hops[id]; h != nil {
-		return h
+	if s := p.servers[id]; s != nil {
+		return s
 	}
 	return &Server[T]{ID: id, state: lg.Gone}
 }
 
-// Ready tells whether there is a next hop that takes requests.
+// Ready reports whether at least one server takes requests.
 func (p *Pool[T]) Ready() bool {
-	for _, h := range p.hops {
-		if h.state == lg.Ready {
+	for _, s := range p.servers {
+		if s.state == lg.Ready {
 			return true
 		}
 	}
 	return false
 }
 
-// Listed counts the next hops, and those of them that take nothing new.
+// Listed counts the servers, and those of them that take no new requests.
 func (p *Pool[T]) Listed() (all, draining int) {
-	for _, h := range p.hops {
-		if h.state != lg.Ready {
+	for _, s := range p.servers {
+		if s.state != lg.Ready {
 			draining++
 		}
 	}
-	return len(p.hops), draining
+	return len(p.servers), draining
 }
 
-// Servers lists the next hops, by id.
+// Servers returns the servers, sorted by ID.
 func (p *Pool[T]) Servers() []*Server[T] {
-	all := make([]*Server[T], 0, len(p.hops))
-	for _, h := range p.hops {
-		all = append(all, h)
+	all := make([]*Server[T], 0, len(p.servers))
+	for _, s := range p.servers {
+		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *Server[T]) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (p *Pool[T]) do(a Action[T]) { p.Actions = append(p.Actions, a) }
+func (p *Pool[T]) emit(a Action[T]) { p.Actions = append(p.Actions, a) }
 
-// SetServerState notes what the server list says of a next hop. One that takes nothing new needs no idle legs,
-// and who waits for one hears at once: there is time for another next hop.
+// SetServerState records the state that the server list gives for a server. If the server takes no new
+// requests, its idle connections are closed and its waiting tickets are refused immediately, while
+// there is still time for an attempt at another server.
 func (p *Pool[T]) SetServerState(id lg.ServerID, state lg.State) {
-	h := p.hops[id]
-	if h == nil {
+	s := p.servers[id]
+	if s == nil {
 		if state == lg.Gone {
 			return
 		}
-		h = &Server[T]{ID: id, rest: rest{proved: p.cfg.IdleTimeout}}
-		p.hops[id] = h
+		s = &Server[T]{ID: id, liveness: liveness{proven: p.cfg.IdleTimeout}}
+		p.servers[id] = s
 	}
-	if h.state = state; state == lg.Ready {
+	if s.state = state; state == lg.Ready {
 		return
 	}
-	p.empty(h, byList)
-	for _, t := range h.waiting {
-		p.do(Action[T]{Kind: Refuse, Ticket: t})
+	p.closeIdle(s, causeServerState)
+	for _, t := range s.waiting {
+		p.emit(Action[T]{Kind: Refuse, Ticket: t})
 	}
-	h.waiting = nil
+	s.waiting = nil
 	if state == lg.Gone {
-		delete(p.hops, id)
+		delete(p.servers, id)
 	}
 }
 
-// empty closes the idle legs of a next hop.
-func (p *Pool[T]) empty(h *Server[T], why int) {
-	for len(h.idle) > 0 {
-		p.drop(h.idle[0], why)
+// closeIdle closes a server's idle connections.
+func (p *Pool[T]) closeIdle(s *Server[T], cause int) {
+	for len(s.idle) > 0 {
+		p.closeConn(s.idle[0], cause)
 	}
 }
 
-// Acquire asks for a leg: the newest idle one that is trusted, or one that is opened. A careful ticket,
-// whose request must not be lost, gets none that is in doubt while another can be opened.
-func (p *Pool[T]) Acquire(now time.Duration, h *Server[T], t T, careful bool) {
-	h.pace.asked++
-	if h.state != lg.Ready {
-		p.do(Action[T]{Kind: Refuse, Ticket: t})
+// Acquire asks for a connection to a server: an idle one whose idle time is proven safe, else a new one.
+// With unsafe set, the request must not be lost, and the ticket gets no suspect connection as long as
+// another one can be opened.
+func (p *Pool[T]) Acquire(now time.Duration, s *Server[T], t T, unsafe bool) {
+	s.demand.requested++
+	if s.state != lg.Ready {
+		p.emit(Action[T]{Kind: Refuse, Ticket: t})
 		return
 	}
-	var doubtful *Conn[T]
-	if len(h.idle) > 0 {
-		l := p.next(h)
-		switch rested := now - l.since; {
-		case rested >= min(p.limit, h.rest.limit()):
-			p.empty(h, byRest) // the newest is no longer trusted
-		case rested <= h.rest.proved:
-			p.take(h, l)
-			p.give(now, l, t)
-			p.ahead(now, h)
+	var suspect *Conn[T]
+	if len(s.idle) > 0 {
+		c := p.nextIdle(s)
+		switch idleFor := now - c.since; {
+		case idleFor >= min(p.idleLimit, s.liveness.limit()):
+			p.closeIdle(s, causeIdle) // even the next one to be used has been idle for too long
+		case idleFor <= s.liveness.proven:
+			p.removeIdle(s, c)
+			p.assign(now, c, t)
+			p.openAhead(now, s)
 			return
 		default:
-			doubtful = l
+			suspect = c
 		}
 	}
-	// Guards against losing one request after the other to legs that were dropped in silence: only
-	// one in doubt is tried at a time, by a request that can be sent again.
-	if doubtful != nil && h.doubted == nil && (!careful || h.rest.overdue(now)) {
-		p.doubt(now, h, doubtful, t)
+	// Otherwise one request after the other could be lost on connections that were dropped silently: only
+	// one suspect connection is tried at a time, by a request that can be sent again.
+	if suspect != nil && s.suspectInUse == nil && (!unsafe || s.liveness.probeOverdue(now)) {
+		p.assignSuspect(now, s, suspect, t)
 		return
 	}
-	if len(h.idle) >= mostDoubtful { // in place of, not beside, the one that has rested longest
-		p.drop(h.idle[0], byRest)
+	if len(s.idle) >= maxUnprovenIdle { // the new connection replaces the one that has been idle longest
+		p.closeConn(s.idle[0], causeIdle)
 	}
-	// What is being opened and for which nobody waits any more does for this one; and so does a leg in
-	// use that is expected back before a new one would be of use.
-	lacks := len(h.waiting) + 1 - h.opening
-	if lacks > 0 && !p.sooner(h, lacks) && !p.open(now, h, t) {
-		if doubtful != nil && doubtful.phase == idle {
-			p.doubt(now, h, doubtful, t)
+	// A connection being opened whose ticket has been served or has stopped waiting serves this ticket; so
+	// does a connection in use that is expected back before a new one would help.
+	unserved := len(s.waiting) + 1 - s.opening
+	if unserved > 0 && !p.reuseIsSooner(s, unserved) && !p.open(now, s, t) {
+		if suspect != nil && suspect.phase == idle {
+			p.assignSuspect(now, s, suspect, t)
 			return
 		}
-		p.do(Action[T]{Kind: Refuse, Ticket: t})
+		p.emit(Action[T]{Kind: Refuse, Ticket: t})
 		return
 	}
-	h.waiting = append(h.waiting, t)
+	s.waiting = append(s.waiting, t)
 }
 
-// next is the idle leg to be used next.
-func (p *Pool[T]) next(h *Server[T]) *Conn[T] {
-	l := h.idle[len(h.idle)-1]
+// nextIdle returns the idle connection to be used next.
+func (p *Pool[T]) nextIdle(s *Server[T]) *Conn[T] {
+	next := s.idle[len(s.idle)-1]
 	switch p.cfg.Order {
 	case Oldest:
-		l = h.idle[0]
+		next = s.idle[0]
 	case LeastUsed:
-		for _, o := range h.idle {
-			if o.uses < l.uses {
-				l = o
+		for _, c := range s.idle {
+			if c.uses < next.uses {
+				next = c
 			}
 		}
 	}
-	return l
+	return next
 }
 
-// take takes a leg from the idle ones, in order.
-func (p *Pool[T]) take(h *Server[T], l *Conn[T]) {
-	if n := len(h.idle); h.idle[n-1] == l {
-		h.idle = h.idle[:n-1]
+// removeIdle removes a connection from the idle ones and keeps their order.
+func (p *Pool[T]) removeIdle(s *Server[T], c *Conn[T]) {
+	if n := len(s.idle); s.idle[n-1] == c {
+		s.idle = s.idle[:n-1]
 		return
 	}
-	h.idle = slices.DeleteFunc(h.idle, func(o *Conn[T]) bool { return o == l })
+	s.idle = slices.DeleteFunc(s.idle, func(other *Conn[T]) bool { return other == c })
 }
 
-// open opens a leg, unless that has failed just now, the next hop has its part of the legs already,
-// or there is no descriptor.
-func (p *Pool[T]) open(now time.Duration, h *Server[T], t T) bool {
-	if h.state != lg.Ready || now < h.openAt || h.legs >= p.part() || h.cap > 0 && h.legs >= h.cap || !p.room() {
+// open opens a connection and reports whether it could: not while the server is backing off, holds its
+// maximum of connections already, or no slot is left in the pool.
+func (p *Pool[T]) open(now time.Duration, s *Server[T], t T) bool {
+	if s.state != lg.Ready || now < s.openAfter || s.conns >= p.maxPerServer() ||
+		s.connLimit > 0 && s.conns >= s.connLimit || !p.ensureSlot() {
 		return false
 	}
-	h.Counts.Opened++
-	h.opening++
-	h.legs++
-	p.last++
-	p.legs++
-	p.do(Action[T]{Kind: Open, Conn: &Conn[T]{ID: p.last, Server: h, since: now}, Ticket: t})
+	s.Counts.Opened++
+	s.opening++
+	s.conns++
+	p.lastID++
+	p.conns++
+	p.emit(Action[T]{Kind: Open, Conn: &Conn[T]{ID: p.lastID, Server: s, since: now}, Ticket: t})
 	return true
 }
 
-// busy is how many legs are in use.
-func (h *Server[T]) busy() int { return h.legs - h.opening - len(h.idle) }
+// inUse is the number of connections that are assigned.
+func (s *Server[T]) inUse() int { return s.conns - s.opening - len(s.idle) }
 
-// sooner tells whether the last of so many tickets that lack a leg is expected to get one that is in
-// use before a new one would be of use to it. Guards against a storm of openings: where answers come
-// faster than connections do, each costs the next hop more work than it saves anybody time.
-func (p *Pool[T]) sooner(h *Server[T], lacks int) bool {
-	busy := h.busy()
-	if p.cfg.Eager || busy <= 0 {
+// reuseIsSooner reports whether the last of the unserved tickets (tickets beyond the connections being
+// opened) is expected to get a connection that is now in use before a new one would help. Otherwise a
+// burst of openings could follow where exchanges are faster than connection setup: each opening costs
+// the server more work than it saves a request in time.
+func (p *Pool[T]) reuseIsSooner(s *Server[T], unserved int) bool {
+	inUse := s.inUse()
+	if p.cfg.Eager || inUse <= 0 {
 		return false
 	}
-	return waitParts*h.pace.hold*time.Duration(lacks) < h.pace.price()*time.Duration(busy)
+	return reuseMargin*s.demand.exchange*time.Duration(unserved) < s.demand.newConnCost()*time.Duration(inUse)
 }
 
-// waitParts: a wait for a leg in use may be expected to take one of so many parts of what a new leg
-// costs. Exchanges differ, and one that has taken long already will most likely take longer still.
-const waitParts = 4
+// reuseMargin is how many times sooner a connection in use must be expected back than a new one would
+// help, for a ticket to wait for it. Exchanges vary in length, and one that has taken long already will
+// probably take even longer.
+const reuseMargin = 4
 
-// HasUnservedWaiters tells whether more tickets wait than legs are being opened.
-func (h *Server[T]) HasUnservedWaiters() bool { return len(h.waiting) > h.opening }
+// HasUnservedWaiters reports whether more tickets wait than connections are being opened.
+func (s *Server[T]) HasUnservedWaiters() bool { return len(s.waiting) > s.opening }
 
-// WaitTimeout is how long a ticket that waits for a leg in use does so before Press is worth a call.
-func (h *Server[T]) WaitTimeout() time.Duration { return h.pace.price() / 2 }
+// WaitTimeout is how long a ticket waits for a connection in use before OpenForWaiters should be called.
+func (s *Server[T]) WaitTimeout() time.Duration { return s.demand.newConnCost() / 2 }
 
-// OpenForWaiters opens legs for the tickets that wait for legs in use, which are late: they may never
-// come back.
-func (p *Pool[T]) OpenForWaiters(now time.Duration, h *Server[T]) {
-	for len(h.waiting) > h.opening && p.open(now, h, h.waiting[h.opening]) {
+// OpenForWaiters opens connections for the tickets that wait for connections in use, which are late and
+// may never come back.
+func (p *Pool[T]) OpenForWaiters(now time.Duration, s *Server[T]) {
+	for len(s.waiting) > s.opening && p.open(now, s, s.waiting[s.opening]) {
 	}
 }
 
-// ahead opens a leg before it is wanted, when the last idle one was taken and traffic wants more.
-func (p *Pool[T]) ahead(now time.Duration, h *Server[T]) {
-	if p.cfg.Eager || len(h.idle) > 0 || h.opening > 0 || p.legs >= p.cfg.MaxConns || h.legs >= h.pace.want() {
+// openAhead opens a connection ahead of demand, when the last idle one was assigned and the traffic
+// needs more.
+func (p *Pool[T]) openAhead(now time.Duration, s *Server[T]) {
+	if p.cfg.Eager || len(s.idle) > 0 || s.opening > 0 || p.conns >= p.cfg.MaxConns ||
+		s.conns >= s.demand.target() {
 		return
 	}
-	var nobody T
-	if p.open(now, h, nobody) {
-		h.Counts.OpenedAhead++
+	var none T
+	if p.open(now, s, none) {
+		s.Counts.OpenedAhead++
 	}
 }
 
-// ConnLimitReached says that a next hop turned away the first request on a leg and closed it: it holds as
-// many as it accepts. Of these this proxy's are so many.
-func (p *Pool[T]) ConnLimitReached(now time.Duration, l *Conn[T]) {
-	if h := l.Server; l.uses == 1 && !p.cfg.NoLearning {
-		h.cap, h.capAt = max(1, h.legs-1), now
+// ConnLimitReached records that a server rejected the first request on a connection and closed it: it
+// holds as many connections as it accepts. This proxy's share of them is what it holds besides this one.
+func (p *Pool[T]) ConnLimitReached(now time.Duration, c *Conn[T]) {
+	if s := c.Server; c.uses == 1 && !p.cfg.NoLearning {
+		s.connLimit, s.connLimitAt = max(1, s.conns-1), now
 	}
 }
 
-// stranded sees to tickets that wait for legs in use when none is in use any more.
-func (p *Pool[T]) stranded(now time.Duration, h *Server[T]) {
-	for len(h.waiting) > h.opening && h.busy() <= 0 {
-		t := h.waiting[h.opening]
-		if p.open(now, h, t) {
+// resolveStranded opens a connection for, or refuses, tickets that wait for connections in use once none
+// is in use any more.
+func (p *Pool[T]) resolveStranded(now time.Duration, s *Server[T]) {
+	for len(s.waiting) > s.opening && s.inUse() <= 0 {
+		t := s.waiting[s.opening]
+		if p.open(now, s, t) {
 			continue
 		}
-		h.waiting = slices.Delete(h.waiting, h.opening, h.opening+1)
-		p.do(Action[T]{Kind: Refuse, Ticket: t})
+		s.waiting = slices.Delete(s.waiting, s.opening, s.opening+1)
+		p.emit(Action[T]{Kind: Refuse, Ticket: t})
 	}
 }
 
-// part is how many legs one next hop may hold. Guards against one that hangs and takes them all.
-func (p *Pool[T]) part() int {
+// maxPerServer is how many connections one server may hold. Otherwise a server that hangs could take all
+// of them.
+func (p *Pool[T]) maxPerServer() int {
 	if p.cfg.MaxPerServer > 0 {
 		return p.cfg.MaxPerServer
 	}
-	if len(p.hops) < 2 {
+	if len(p.servers) < 2 {
 		return p.cfg.MaxConns
 	}
-	return max(1, p.cfg.MaxConns/hopParts)
+	return max(1, p.cfg.MaxConns/serverShareDivisor)
 }
 
-// hopParts: a next hop among several may hold one of so many parts of all legs.
-const hopParts = 2
+// serverShareDivisor: one server among several may hold 1/serverShareDivisor of all connections.
+const serverShareDivisor = 2
 
-// After an opening that failed none is tried for a while, which doubles from firstBackoff to
-// mostBackoff: whoever would wait for it is better off elsewhere, at once.
+// After a failed opening no other one is tried for a delay that doubles from initialBackoff to
+// maxBackoff. Tickets are refused meanwhile: an attempt at another server is better than waiting.
 const (
-	firstBackoff = 20 * time.Millisecond
-	mostBackoff  = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// capFor is how long a learned cap holds before one leg more is tried: others may have closed theirs.
-const capFor = 5 * time.Second
+// connLimitTTL is how long a learned connection limit holds before it is raised by one: other proxies may
+// have closed some of theirs.
+const connLimitTTL = 5 * time.Second
 
-// mostDoubtful idle legs are kept while none of them is trusted.
-const mostDoubtful = 3
+// maxUnprovenIdle idle connections are kept while none of them is proven safe to use.
+const maxUnprovenIdle = 3
 
-// doubt gives a leg that is in doubt.
-func (p *Pool[T]) doubt(now time.Duration, h *Server[T], l *Conn[T], t T) {
-	p.take(h, l)
-	h.doubted, h.rest.owed = l, false
-	p.give(now, l, t)
+// assignSuspect assigns a connection that has been idle for longer than is proven safe.
+func (p *Pool[T]) assignSuspect(now time.Duration, s *Server[T], c *Conn[T], t T) {
+	p.removeIdle(s, c)
+	s.suspectInUse, s.liveness.probeDue = c, false
+	p.assign(now, c, t)
 }
 
-// room makes sure of a descriptor for one more leg: at the cap the leg that has been idle longest,
-// of any next hop, is closed.
-func (p *Pool[T]) room() bool {
-	if p.legs < p.cfg.MaxConns {
+// ensureSlot reports whether one more connection may be held. At the limit it first closes the connection
+// that has been idle longest, of any server.
+func (p *Pool[T]) ensureSlot() bool {
+	if p.conns < p.cfg.MaxConns {
 		return true
 	}
 	var oldest *Conn[T]
-	for _, h := range p.hops {
-		if len(h.idle) == 0 {
+	for _, s := range p.servers {
+		if len(s.idle) == 0 {
 			continue
 		}
-		l := h.idle[0]
-		if oldest == nil || l.since < oldest.since || l.since == oldest.since && l.ID < oldest.ID {
-			oldest = l
+		c := s.idle[0]
+		if oldest == nil || c.since < oldest.since || c.since == oldest.since && c.ID < oldest.ID {
+			oldest = c
 		}
 	}
 	if oldest != nil {
-		p.drop(oldest, byRoom)
+		p.closeConn(oldest, causeEvicted)
 	}
 	return oldest != nil
 }
 
-func (p *Pool[T]) give(now time.Duration, l *Conn[T], t T) {
-	l.IdleFor = 0
-	if l.phase == idle {
-		l.IdleFor = now - l.since
+func (p *Pool[T]) assign(now time.Duration, c *Conn[T], t T) {
+	c.IdleFor = 0
+	if c.phase == idle {
+		c.IdleFor = now - c.since
 	}
-	l.phase, l.since = given, now
-	l.uses++
-	p.do(Action[T]{Kind: Assign, Conn: l, Ticket: t})
+	c.phase, c.since = assigned, now
+	c.uses++
+	p.emit(Action[T]{Kind: Assign, Conn: c, Ticket: t})
 }
 
-// CancelWait says that a ticket waits no more.
-func (p *Pool[T]) CancelWait(h *Server[T], t T) {
-	h.waiting = slices.DeleteFunc(h.waiting, func(o T) bool { return o == t })
+// CancelWait removes a ticket that no longer waits for a connection.
+func (p *Pool[T]) CancelWait(s *Server[T], t T) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(other T) bool { return other == t })
 }
 
-// Opened says how the opening of a leg went.
-func (p *Pool[T]) Opened(now time.Duration, l *Conn[T], how OpenResult) {
-	h := l.Server
-	h.opening--
-	if how == OpenOK {
-		l.phase = fresh
-		h.openAt, h.backoff = 0, 0
-		h.pace.opened(now - l.since)
-		p.free(now, l)
+// Opened reports the result of opening a connection.
+func (p *Pool[T]) Opened(now time.Duration, c *Conn[T], result OpenResult) {
+	s := c.Server
+	s.opening--
+	if result == OpenOK {
+		c.phase = opened
+		s.openAfter, s.backoff = 0, 0
+		s.demand.dialed(now - c.since)
+		p.release(now, c)
 		return
 	}
-	p.legs--
-	h.legs--
-	l.phase = closed
-	local := how == OpenLocalFault
+	p.conns--
+	s.conns--
+	c.phase = closed
+	local := result == OpenLocalFault
 	if !local {
-		h.Counts.Failed++
-		h.backoff = min(max(firstBackoff, 2*h.backoff), mostBackoff)
-		h.openAt = now + h.backoff
+		s.Counts.Failed++
+		s.backoff = min(max(initialBackoff, 2*s.backoff), maxBackoff)
+		s.openAfter = now + s.backoff
 	}
-	// Whoever waits longest hears of it at once: nothing of it has been sent.
-	if len(h.waiting) > h.opening && (h.busy() <= 0 || !p.sooner(h, len(h.waiting)-h.opening)) {
-		t := h.waiting[0]
-		h.waiting = h.waiting[1:]
-		p.do(Action[T]{Kind: Refuse, Ticket: t, LocalFault: local})
+	// The ticket that has waited longest is refused immediately: nothing of its request has been sent.
+	if len(s.waiting) > s.opening && (s.inUse() <= 0 || !p.reuseIsSooner(s, len(s.waiting)-s.opening)) {
+		t := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		p.emit(Action[T]{Kind: Refuse, Ticket: t, LocalFault: local})
 	}
-	p.stranded(now, h)
+	p.resolveStranded(now, s)
 }
 
-// Release takes a leg back after an exchange.
-func (p *Pool[T]) Release(now time.Duration, l *Conn[T]) {
-	l.Server.pace.held(now-l.since, l.uses == 1)
-	p.free(now, l)
+// Release returns a connection after an exchange.
+func (p *Pool[T]) Release(now time.Duration, c *Conn[T]) {
+	c.Server.demand.exchanged(now-c.since, c.uses == 1)
+	p.release(now, c)
 }
 
-// ReleaseUnused takes a leg back that was given and on which nothing was written.
-func (p *Pool[T]) ReleaseUnused(now time.Duration, l *Conn[T]) {
-	if l.IdleFor > 0 { // how long it has rested by now would be lost
-		p.drop(l, byRest)
+// ReleaseUnused returns a connection that was assigned and on which nothing was written.
+func (p *Pool[T]) ReleaseUnused(now time.Duration, c *Conn[T]) {
+	if c.IdleFor > 0 { // put back, its idle time so far would no longer be counted
+		p.closeConn(c, causeIdle)
 		return
 	}
-	l.uses--
-	p.free(now, l)
+	c.uses--
+	p.release(now, c)
 }
 
-// free gives a leg that is nobody's to the ticket that has waited longest, or keeps it idle. The
-// server list counts as it is now: the next hop may have begun to drain while the leg was opened or in
-// use.
-func (p *Pool[T]) free(now time.Duration, l *Conn[T]) {
-	h := l.Server
+// release assigns a free connection to the ticket that has waited longest, or keeps it idle. It checks
+// the server's current state: the server may have begun to drain while the connection was being opened
+// or in use.
+func (p *Pool[T]) release(now time.Duration, c *Conn[T]) {
+	s := c.Server
 	switch {
-	case h.state != lg.Ready:
-		p.drop(l, byList)
-	case len(h.waiting) > 0:
-		t := h.waiting[0]
-		h.waiting = h.waiting[1:]
-		p.give(now, l, t)
+	case s.state != lg.Ready:
+		p.closeConn(c, causeServerState)
+	case len(s.waiting) > 0:
+		t := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		p.assign(now, c, t)
 	default:
-		l.phase, l.since = idle, now
-		h.idle = append(h.idle, l)
+		c.phase, c.since = idle, now
+		s.idle = append(s.idle, c)
 	}
 }
 
-// Drop closes a leg after an exchange that left it of no more use.
-func (p *Pool[T]) Drop(now time.Duration, l *Conn[T]) {
-	p.drop(l, byUse)
-	p.stranded(now, l.Server)
+// Drop closes a connection that can't be used any more after an exchange.
+func (p *Pool[T]) Drop(now time.Duration, c *Conn[T]) {
+	p.closeConn(c, causeUnusable)
+	p.resolveStranded(now, c.Server)
 }
 
-func (p *Pool[T]) drop(l *Conn[T], why int) {
-	p.do(Action[T]{Kind: Close, Conn: l})
-	p.forget(l, why)
+func (p *Pool[T]) closeConn(c *Conn[T], cause int) {
+	p.emit(Action[T]{Kind: Close, Conn: c})
+	p.remove(c, cause)
 }
 
-// PeerClosed forgets a leg that the other side has closed.
-func (p *Pool[T]) PeerClosed(now time.Duration, l *Conn[T]) {
-	p.forget(l, byOther)
-	p.stranded(now, l.Server)
+// PeerClosed removes a connection that the server's side has closed.
+func (p *Pool[T]) PeerClosed(now time.Duration, c *Conn[T]) {
+	p.remove(c, causePeer)
+	p.resolveStranded(now, c.Server)
 }
 
-func (p *Pool[T]) forget(l *Conn[T], why int) {
-	h := l.Server
-	p.legs--
-	h.legs--
-	h.Counts.Closed[why]++
-	if h.doubted == l {
-		h.doubted = nil
+func (p *Pool[T]) remove(c *Conn[T], cause int) {
+	s := c.Server
+	p.conns--
+	s.conns--
+	s.Counts.Closed[cause]++
+	if s.suspectInUse == c {
+		s.suspectInUse = nil
 	}
-	switch l.phase {
+	switch c.phase {
 	case opening:
-		h.opening--
+		s.opening--
 	case idle:
-		p.take(h, l)
+		p.removeIdle(s, c)
 	}
-	l.phase = closed
+	c.phase = closed
 }
 
-// RecordOutcome takes in how an exchange on a leg ended: with an answer, with the leg broken, or in silence.
-func (p *Pool[T]) RecordOutcome(now time.Duration, l *Conn[T], how Outcome) {
-	h := l.Server
-	if h.doubted == l {
-		h.doubted = nil
+// RecordOutcome learns from how an exchange on a connection ended, for how long connections may be idle.
+func (p *Pool[T]) RecordOutcome(now time.Duration, c *Conn[T], outcome Outcome) {
+	s := c.Server
+	if s.suspectInUse == c {
+		s.suspectInUse = nil
 	}
 	if p.cfg.NoLearning {
 		return
 	}
-	if how == NoAnswer && h.answered <= l.since {
-		return // it has answered on no leg since: it hangs, and the leg is not to blame
+	if outcome == NoAnswer && s.lastAnswer <= c.since {
+		return // the server has answered on no connection since: it hangs, and this connection is not at fault
 	}
-	p.trust.add(l.IdleFor, how != Answered)
-	p.limit = p.trust.limit(p.cfg.IdleTimeout)
-	if how == Answered {
-		h.rest.good(l.IdleFor)
-		h.answered = now
+	p.histogram.add(c.IdleFor, outcome != Answered)
+	p.idleLimit = p.histogram.limit(p.cfg.IdleTimeout)
+	if outcome == Answered {
+		s.liveness.survived(c.IdleFor)
+		s.lastAnswer = now
 		return
 	}
-	if l.IdleFor < shortRest {
-		p.fresh++
+	if c.IdleFor < minIdle {
+		p.freshLosses++
 	}
-	if !h.rest.lost(now, l.IdleFor, p.cfg.IdleTimeout, how, p.fresh > freshMost) {
+	if !s.liveness.lost(now, c.IdleFor, p.cfg.IdleTimeout, outcome, p.freshLosses > maxFreshLosses) {
 		return
 	}
-	// Two next hops that lose rested legs within a short while: what drops them may lie before all.
-	if p.lostHop != h && now-p.lostAt < togetherFor {
-		for _, o := range p.hops {
-			o.rest.warn(now, l.IdleFor)
+	// Two servers lost idle connections within a short time: whatever drops them may be on the path to all.
+	if p.lastLossServer != s && now-p.lastLossAt < correlationWindow {
+		for _, other := range p.servers {
+			other.liveness.distrust(now, c.IdleFor)
 		}
 	}
-	p.lostHop, p.lostAt = h, now
+	p.lastLossServer, p.lastLossAt = s, now
 }
 
-// Sweep closes what has been idle too long, and lets what was learned fade. It is called every
-// quarter of a second.
+// Sweep closes connections that have been idle for too long, and decays what was learned. It must be
+// called every sweepInterval.
 func (p *Pool[T]) Sweep(now time.Duration) {
-	p.trust.forget()
-	p.limit = p.trust.limit(p.cfg.IdleTimeout)
-	p.fresh *= freshFade
-	for _, h := range p.Servers() {
-		h.rest.fade(now, p.cfg.IdleTimeout)
-		h.pace.sweep()
-		if h.cap > 0 && now-h.capAt >= capFor {
-			if h.cap, h.capAt = h.cap+1, now; h.cap > p.part() {
-				h.cap = 0
+	p.histogram.decay()
+	p.idleLimit = p.histogram.limit(p.cfg.IdleTimeout)
+	p.freshLosses *= freshLossDecay
+	for _, s := range p.Servers() {
+		s.liveness.decay(now, p.cfg.IdleTimeout)
+		s.demand.sweep()
+		if s.connLimit > 0 && now-s.connLimitAt >= connLimitTTL {
+			if s.connLimit, s.connLimitAt = s.connLimit+1, now; s.connLimit > p.maxPerServer() {
+				s.connLimit = 0
 			}
 		}
-		for len(h.idle) > 0 && now-h.idle[0].since >= min(p.limit, h.rest.limit()) {
-			p.drop(h.idle[0], byRest)
+		for len(s.idle) > 0 && now-s.idle[0].since >= min(p.idleLimit, s.liveness.limit()) {
+			p.closeConn(s.idle[0], causeIdle)
 		}
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,80 +13,82 @@
 
 const ms = time.Millisecond
 
-// TestTrust covers for how long legs may be idle: how often exchanges break on legs idle for so long
-// decides, against fresher ones.
-func TestTrust(t *testing.T) {
-	const most = time.Minute
-	var tr trust
+// TestIdleHistogram checks that the limit on the idle time follows from how often exchanges break on
+// connections idle for that long, compared with connections idle for less.
+func TestIdleHistogram(t *testing.T) {
+	const maxIdle = time.Minute
+	var h idleHistogram
 	for range 100 {
-		tr.add(0, false)
-		tr.add(20*ms, false)
-		tr.add(300*ms, false)
+		h.add(0, false)
+		h.add(20*ms, false)
+		h.add(300*ms, false)
 	}
-	for range 10 { // as many break on all, as where connections break at random
-		tr.add(20*ms, true)
-		tr.add(0, true)
+	for range 10 { // as many break at each idle time, as if at random
+		h.add(20*ms, true)
+		h.add(0, true)
 	}
-	if got := tr.limit(most); got != most {
-		t.Errorf("trusted for %v, though the idle time makes no difference", got)
+	if got := h.limit(maxIdle); got != maxIdle {
+		t.Errorf("idle limit %v, though the idle time makes no difference", got)
 	}
 	for range 60 {
-		tr.add(300*ms, true)
+		h.add(300*ms, true)
 	}
-	if got := tr.limit(most); got > 300*ms || got <= 20*ms {
-		t.Errorf("trusted for %v, though legs break from 300 ms on", got)
+	if got := h.limit(maxIdle); got > 300*ms || got <= 20*ms {
+		t.Errorf("idle limit %v, though connections break from 300 ms on", got)
 	}
 	for range 3000 { // sweeps
-		tr.forget()
+		h.decay()
 	}
-	if got := tr.limit(most); got != most {
-		t.Errorf("trusted for %v for good", got)
+	if got := h.limit(maxIdle); got != maxIdle {
+		t.Errorf("idle limit %v never recovers", got)
 	}
 }
 
-// model plays the side of whoever uses a Pool, and knows what must hold after every step.
+// model acts as the owner of a Pool, and checks the pool's invariants after every step.
 type model struct {
-	had map[lg.ServerID]int // legs of each next hop at the last check
+	counted map[lg.ServerID]int // connections of each server at the last check
 	*rapid.T
-	p       *Pool[int]
-	most    int
-	now     time.Duration
-	state   map[lg.ServerID]lg.State
-	legs    map[ConnID]*Conn[int] // all that are open or being opened
-	given   map[ConnID]int
-	waiting map[int]lg.ServerID
-	hops    map[int]*Server[int] // of the tickets
-	next    int
+	p          *Pool[int]
+	maxConns   int
+	now        time.Duration
+	state      map[lg.ServerID]lg.State
+	conns      map[ConnID]*Conn[int] // all that are open or being opened
+	assigned   map[ConnID]int        // the ticket of each assigned connection
+	waiting    map[int]lg.ServerID   // the server of each waiting ticket
+	servers    map[int]*Server[int]  // by ticket
+	lastTicket int
 }
 
-// acts does what the pool asks for and checks that it may ask for it.
-func (m *model) acts() {
+// carryOut carries out the pool's actions and checks that each is allowed.
+func (m *model) carryOut() {
 	for _, a := range m.p.Actions {
 		switch a.Kind {
 		case Open:
-			if m.legs[a.Conn.ID] != nil || m.state[a.Conn.Server.ID] != lg.Ready {
-				m.Fatalf("opens leg %d to a next hop that is %v", a.Conn.ID, m.state[a.Conn.Server.ID])
+			if m.conns[a.Conn.ID] != nil || m.state[a.Conn.Server.ID] != lg.Ready {
+				m.Fatalf("opens connection %d to a server that is %v", a.Conn.ID, m.state[a.Conn.Server.ID])
 			}
-			m.legs[a.Conn.ID] = a.Conn
+			m.conns[a.Conn.ID] = a.Conn
 		case Close:
-			if m.legs[a.Conn.ID] == nil {
-				m.Fatalf("closes leg %d, which is not there", a.Conn.ID)
+			if m.conns[a.Conn.ID] == nil {
+				m.Fatalf("closes connection %d, which does not exist", a.Conn.ID)
 			}
-			delete(m.legs, a.Conn.ID)
-			delete(m.given, a.Conn.ID)
+			delete(m.conns, a.Conn.ID)
+			delete(m.assigned, a.Conn.ID)
 		case Assign:
-			_, waits := m.waiting[a.Ticket]
-			if _, taken := m.given[a.Conn.ID]; taken || !waits || m.legs[a.Conn.ID] == nil || a.Conn.Opening() {
-				m.Fatalf("gives leg %d to %d: taken %v, waits %v", a.Conn.ID, a.Ticket, taken, waits)
+			_, isWaiting := m.waiting[a.Ticket]
+			if _, taken := m.assigned[a.Conn.ID]; taken || !isWaiting || m.conns[a.Conn.ID] == nil ||
+				a.Conn.Opening() {
+				m.Fatalf("assigns connection %d to ticket %d: taken %v, waiting %v", a.Conn.ID, a.Ticket, taken,
+					isWaiting)
 			}
 			if a.Conn.Server.ID != m.waiting[a.Ticket] || m.state[a.Conn.Server.ID] != lg.Ready {
-				m.Fatalf("gives a leg of another next hop, or of one that drains")
+				m.Fatalf("assigns a connection of another server, or of a draining one")
 			}
 			delete(m.waiting, a.Ticket)
-			m.given[a.Conn.ID] = a.Ticket
+			m.assigned[a.Conn.ID] = a.Ticket
 		case Refuse:
-			if _, waits := m.waiting[a.Ticket]; !waits {
-				m.Fatalf("ticket %d ended twice", a.Ticket)
+			if _, isWaiting := m.waiting[a.Ticket]; !isWaiting {
+				m.Fatalf("ticket %d refused, but it does not wait", a.Ticket)
 			}
 			delete(m.waiting, a.Ticket)
 		}
@@ -94,131 +96,133 @@
 	m.p.Actions = m.p.Actions[:0]
 }
 
-// check holds what must be true at any time.
+// check checks the invariants.
 func (m *model) check() {
-	if len(m.legs) > m.most || m.p.legs != len(m.legs) {
-		m.Fatalf("%d legs open, %d counted, at most %d allowed", len(m.legs), m.p.legs, m.most)
-	}
-	for _, h := range m.p.Servers() {
-		opening, legs := 0, 0
-		for _, l := range m.legs {
-			if l.Server == h {
-				legs++
-				if l.Opening() {
+	if len(m.conns) > m.maxConns || m.p.conns != len(m.conns) {
+		m.Fatalf("%d connections open, %d counted, at most %d allowed", len(m.conns), m.p.conns, m.maxConns)
+	}
+	for _, s := range m.p.Servers() {
+		opening, conns := 0, 0
+		for _, c := range m.conns {
+			if c.Server == s {
+				conns++
+				if c.Opening() {
 					opening++
 				}
 			}
 		}
 		switch {
-		case h.opening != opening:
-			m.Fatalf("%d legs being opened, %d counted", opening, h.opening)
-		case h.state != lg.Ready && len(h.idle)+len(h.waiting) > 0:
-			m.Fatalf("%d idle legs to a next hop that takes nothing, %d wait", len(h.idle), len(h.waiting))
-		case len(h.waiting) > 0 && len(h.idle) > 0:
-			m.Fatalf("%d tickets wait beside %d idle legs", len(h.waiting), len(h.idle))
-		// A next hop that was alone keeps what it has when another comes.
-		case h.legs != legs || h.legs > max(m.p.part(), m.had[h.ID]) && len(m.p.hops) > 1:
-			m.Fatalf("%d legs, %d counted, a part is %d", legs, h.legs, m.p.part())
-		case len(h.waiting) > h.opening && h.busy() <= 0:
-			m.Fatalf("%d tickets wait for nothing: %d legs being opened, none in use", len(h.waiting), h.opening)
+		case s.opening != opening:
+			m.Fatalf("%d connections being opened, %d counted", opening, s.opening)
+		case s.state != lg.Ready && len(s.idle)+len(s.waiting) > 0:
+			m.Fatalf("%d idle connections to a server that takes nothing, %d tickets wait", len(s.idle),
+				len(s.waiting))
+		case len(s.waiting) > 0 && len(s.idle) > 0:
+			m.Fatalf("%d tickets wait beside %d idle connections", len(s.waiting), len(s.idle))
+		// A server that was alone keeps its connections when another one is added.
+		case s.conns != conns || s.conns > max(m.p.maxPerServer(), m.counted[s.ID]) && len(m.p.servers) > 1:
+			m.Fatalf("%d connections, %d counted, at most %d for a server", conns, s.conns, m.p.maxPerServer())
+		case len(s.waiting) > s.opening && s.inUse() <= 0:
+			m.Fatalf("%d tickets wait for nothing: %d connections being opened, none in use", len(s.waiting),
+				s.opening)
 		}
-		m.had[h.ID] = h.legs
+		m.counted[s.ID] = s.conns
 	}
 }
 
-// some picks a leg in a state, 0 where there is none.
-func (m *model) some(fit func(*Conn[int]) bool) *Conn[int] {
-	var able []ConnID
-	for id, l := range m.legs {
-		if fit(l) {
-			able = append(able, id)
+// pick draws one of the connections that match, nil if there is none.
+func (m *model) pick(match func(*Conn[int]) bool) *Conn[int] {
+	var matching []ConnID
+	for id, c := range m.conns {
+		if match(c) {
+			matching = append(matching, id)
 		}
 	}
-	if len(able) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	slices.Sort(able)
-	return m.legs[rapid.SampledFrom(able).Draw(m.T, "leg")]
+	slices.Sort(matching)
+	return m.conns[rapid.SampledFrom(matching).Draw(m.T, "conn")]
 }
 
-// TestPool plays random steps of next hops, tickets and legs against what must hold.
+// TestPool checks the invariants over random steps of servers, tickets and connections.
 func TestPool(t *testing.T) {
-	// The same steps each time, so that a run's verdict is that of its text.
+	// A fixed seed: each run draws the same steps, so that its result depends on the code alone.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 6).Draw(t, "most")
-		m := &model{T: t, p: New[int](Config{MaxConns: most, IdleTimeout: 2 * time.Second}), most: most,
-			state: map[lg.ServerID]lg.State{}, legs: map[ConnID]*Conn[int]{}, had: map[lg.ServerID]int{},
-			given:   map[ConnID]int{},
-			waiting: map[int]lg.ServerID{}, hops: map[int]*Server[int]{}}
-		hop := func() lg.ServerID { return lg.ServerID(rapid.IntRange(1, 3).Draw(t, "hop")) }
-		isGiven := func(l *Conn[int]) bool { _, ok := m.given[l.ID]; return ok }
+		maxConns := rapid.IntRange(1, 6).Draw(t, "maxConns")
+		m := &model{T: t, p: New[int](Config{MaxConns: maxConns, IdleTimeout: 2 * time.Second}), maxConns: maxConns,
+			state: map[lg.ServerID]lg.State{}, conns: map[ConnID]*Conn[int]{}, counted: map[lg.ServerID]int{},
+			assigned: map[ConnID]int{},
+			waiting:  map[int]lg.ServerID{}, servers: map[int]*Server[int]{}}
+		server := func() lg.ServerID { return lg.ServerID(rapid.IntRange(1, 3).Draw(t, "server")) }
+		isAssigned := func(c *Conn[int]) bool { _, ok := m.assigned[c.ID]; return ok }
 		for id := lg.ServerID(1); id <= 3; id++ {
 			m.state[id] = lg.Ready
 			m.p.SetServerState(id, lg.Ready)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"told": func(*rapid.T) {
-				id := hop()
+			"update": func(*rapid.T) {
+				id := server()
 				m.state[id] = rapid.SampledFrom([]lg.State{lg.Ready, lg.Ready, lg.Draining, lg.Gone}).Draw(t, "state")
 				m.p.SetServerState(id, m.state[id])
 			},
-			"want": func(*rapid.T) {
-				id := hop()
-				m.next++
-				m.waiting[m.next] = id
-				m.hops[m.next] = m.p.Server(id)
-				m.p.Acquire(m.now, m.hops[m.next], m.next, rapid.Bool().Draw(t, "careful"))
+			"wait": func(*rapid.T) {
+				id := server()
+				m.lastTicket++
+				m.waiting[m.lastTicket] = id
+				m.servers[m.lastTicket] = m.p.Server(id)
+				m.p.Acquire(m.now, m.servers[m.lastTicket], m.lastTicket, rapid.Bool().Draw(t, "unsafe"))
 			},
 			"forget": func(*rapid.T) {
 				for _, ticket := range sortedKeys(m.waiting) {
 					delete(m.waiting, ticket)
-					m.p.CancelWait(m.hops[ticket], ticket)
+					m.p.CancelWait(m.servers[ticket], ticket)
 					break
 				}
 			},
 			"opened": func(*rapid.T) {
-				if l := m.some((*Conn[int]).Opening); l != nil {
+				if c := m.pick((*Conn[int]).Opening); c != nil {
 					ok := rapid.Bool().Draw(t, "ok")
 					if !ok {
-						delete(m.legs, l.ID)
+						delete(m.conns, c.ID)
 					}
-					m.p.Opened(m.now, l, openedAs(ok))
+					m.p.Opened(m.now, c, openResult(ok))
 				}
 			},
 			"free": func(*rapid.T) {
-				if l := m.some(isGiven); l != nil {
-					delete(m.given, l.ID)
-					m.p.RecordOutcome(m.now, l, rapid.SampledFrom([]Outcome{Answered, Broken, NoAnswer}).Draw(t, "end"))
-					m.p.Release(m.now, l)
+				if c := m.pick(isAssigned); c != nil {
+					delete(m.assigned, c.ID)
+					m.p.RecordOutcome(m.now, c, rapid.SampledFrom([]Outcome{Answered, Broken, NoAnswer}).Draw(t, "outcome"))
+					m.p.Release(m.now, c)
 				}
 			},
 			"drop": func(*rapid.T) {
-				if l := m.some(isGiven); l != nil {
-					m.p.Drop(m.now, l)
+				if c := m.pick(isAssigned); c != nil {
+					m.p.Drop(m.now, c)
 				}
 			},
 			"lost": func(*rapid.T) {
-				if l := m.some(func(l *Conn[int]) bool { return !l.Opening() }); l != nil {
-					delete(m.legs, l.ID)
-					delete(m.given, l.ID)
-					m.p.PeerClosed(m.now, l)
+				if c := m.pick(func(c *Conn[int]) bool { return !c.Opening() }); c != nil {
+					delete(m.conns, c.ID)
+					delete(m.assigned, c.ID)
+					m.p.PeerClosed(m.now, c)
 				}
 			},
 			"sweep": func(*rapid.T) {
 				m.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * ms
 				m.p.Sweep(m.now)
-				for _, h := range m.p.Servers() {
-					for _, l := range h.idle {
-						if m.now-l.since >= 2*time.Second {
-							t.Fatalf("leg %d has been idle for %v", l.ID, m.now-l.since)
+				for _, s := range m.p.Servers() {
+					for _, c := range s.idle {
+						if m.now-c.since >= 2*time.Second {
+							t.Fatalf("connection %d has been idle for %v", c.ID, m.now-c.since)
 						}
 					}
 				}
 			},
-			"": func(*rapid.T) { m.acts(); m.check() },
+			"": func(*rapid.T) { m.carryOut(); m.check() },
 		})
 	})
 }
@@ -232,53 +236,53 @@
 	return keys
 }
 
-// TestReuseAllocatesNothing holds the path of a request that finds an idle leg.
+// TestReuseAllocatesNothing checks the path of a request that finds an idle connection.
 func TestReuseAllocatesNothing(t *testing.T) {
 	p := New[int](Config{MaxConns: 4, IdleTimeout: time.Minute})
 	p.SetServerState(1, lg.Ready)
-	h := p.Server(1)
-	p.Acquire(0, h, 1, false)
-	l := p.Actions[0].Conn
+	s := p.Server(1)
+	p.Acquire(0, s, 1, false)
+	c := p.Actions[0].Conn
 	p.Actions = p.Actions[:0]
-	p.Opened(0, l, OpenOK)
+	p.Opened(0, c, OpenOK)
 	p.Actions = p.Actions[:0]
-	p.Release(0, l)
+	p.Release(0, c)
 	if n := testing.AllocsPerRun(100, func() {
-		p.Acquire(ms, h, 2, true)
+		p.Acquire(ms, s, 2, true)
 		p.Actions = p.Actions[:0]
-		p.RecordOutcome(ms, l, Answered)
-		p.Release(ms, l)
+		p.RecordOutcome(ms, c, Answered)
+		p.Release(ms, c)
 	}); n > 0 {
 		t.Errorf("%.1f allocations", n)
 	}
 }
 
-// user plays whoever uses a pool with one next hop: an exchange takes 10 ms, an opening 1 ms.
+// user acts as the owner of a pool with one server: an exchange takes 10 ms, an opening 1 ms.
 type user struct {
 	p           *Pool[int]
 	now         time.Duration
-	next        int
+	lastTicket  int
 	lost, opens int
 	refused     int
-	gone        func(rested time.Duration) bool // whether a leg that has rested so long is dropped
-	fails       func() bool                     // whether an opening fails
+	dropped     func(idleFor time.Duration) bool // whether a connection idle for this long was dropped silently
+	fails       func() bool                      // whether an opening fails
 }
 
-// ask makes one exchange.
-func (u *user) ask(careful bool) {
-	u.next++
-	u.p.Acquire(u.now, u.p.Server(1), u.next, careful)
+// exchange makes one exchange.
+func (u *user) exchange(unsafe bool) {
+	u.lastTicket++
+	u.p.Acquire(u.now, u.p.Server(1), u.lastTicket, unsafe)
 	for i := 0; i < len(u.p.Actions); i++ {
 		switch a := u.p.Actions[i]; a.Kind {
 		case Open:
 			u.opens++
 			u.now += ms
-			u.p.Opened(u.now, a.Conn, openedAs(u.fails == nil || !u.fails()))
+			u.p.Opened(u.now, a.Conn, openResult(u.fails == nil || !u.fails()))
 		case Assign:
-			if u.gone(a.Conn.IdleFor) {
+			if u.dropped(a.Conn.IdleFor) {
 				u.lost++
 				u.now += 400 * ms
-				u.p.Server(1).answered = u.now // on some other leg
+				u.p.Server(1).lastAnswer = u.now // on another connection
 				u.p.RecordOutcome(u.now, a.Conn, NoAnswer)
 				u.p.Drop(u.now, a.Conn)
 				continue
@@ -293,7 +297,7 @@
 	u.p.Actions = u.p.Actions[:0]
 }
 
-// wait passes time, with its sweeps.
+// wait advances the time, with its sweeps.
 func (u *user) wait(d time.Duration) {
 	for end := u.now + d; u.now < end; {
 		u.now = min(end, u.now+250*ms)
@@ -301,98 +305,100 @@
 	}
 	for _, a := range u.p.Actions {
 		if a.Kind != Close {
-			panic("a sweep only closes")
+			panic("a sweep must only close connections")
 		}
 	}
 	u.p.Actions = u.p.Actions[:0]
 }
 
-func newUser(most int) *user {
-	u := &user{p: New[int](Config{MaxConns: most, IdleTimeout: 15 * time.Second}),
-		gone: func(time.Duration) bool { return false }}
+func newUser(maxConns int) *user {
+	u := &user{p: New[int](Config{MaxConns: maxConns, IdleTimeout: 15 * time.Second}),
+		dropped: func(time.Duration) bool { return false }}
 	u.p.SetServerState(1, lg.Ready)
 	return u
 }
 
-// TestSilentDrops covers a machine that drops legs without a word from a rest of 500 ms on: a few
-// requests are lost to it and not one in three, none that is careful once the drops have shown; and when
-// it is over, legs are trusted again.
+// TestSilentDrops checks that few requests are lost where a middlebox silently drops connections after
+// 500 ms of idle time: not one in three, and almost no unsafe ones once the drops have been noticed. After
+// the drops have ended, connections are reused again.
 func TestSilentDrops(t *testing.T) {
 	u := newUser(10)
 	for range 50 {
-		u.ask(false)
+		u.exchange(false)
 		u.wait(700 * ms)
 	}
 	if u.opens > 2 || u.lost > 0 {
 		t.Fatalf("before: %d opened, %d lost", u.opens, u.lost)
 	}
-	u.gone = func(rested time.Duration) bool { return rested >= 500*ms }
-	careful := 0
+	u.dropped = func(idleFor time.Duration) bool { return idleFor >= 500*ms }
+	unsafe := 0
 	for i := range 300 {
 		before := u.lost
-		u.ask(i%3 != 0)
+		u.exchange(i%3 != 0)
 		if u.lost > before && i%3 != 0 {
-			careful++
+			unsafe++
 		}
 		u.wait(time.Duration(300+100*(i%5)) * ms)
 	}
-	if u.lost > 12 || careful > 2 {
-		t.Errorf("%d of 300 lost, %d of them careful", u.lost, careful)
+	if u.lost > 12 || unsafe > 2 {
+		t.Errorf("%d of 300 lost, %d of them unsafe", u.lost, unsafe)
 	}
-	u.gone = func(time.Duration) bool { return false }
+	u.dropped = func(time.Duration) bool { return false }
 	u.wait(5 * time.Minute)
 	u.opens = 0
 	for range 100 {
-		u.ask(true)
+		u.exchange(true)
 		u.wait(700 * ms)
 	}
 	if u.opens > 3 {
-		t.Errorf("%d of 100 opened after it was over", u.opens)
+		t.Errorf("%d openings for 100 exchanges after the drops ended", u.opens)
 	}
 }
 
-// TestSilenceOfAServer covers a server that answers nobody: its legs are not to blame.
-func TestSilenceOfAServer(t *testing.T) {
+// TestUnresponsiveServer checks that no idle time is blamed for a server that answers on no connection.
+func TestUnresponsiveServer(t *testing.T) {
 	u := newUser(10)
-	u.ask(false)
+	u.exchange(false)
 	u.wait(time.Second)
-	h := u.p.Server(1)
+	s := u.p.Server(1)
 	for range 5 {
-		u.p.Acquire(u.now, h, 1, true)
-		l := u.p.Actions[0].Conn
+		u.p.Acquire(u.now, s, 1, true)
+		c := u.p.Actions[0].Conn
 		u.p.Actions = u.p.Actions[:0]
 		u.now += 400 * ms
-		u.p.RecordOutcome(u.now, l, NoAnswer)
-		u.p.Release(u.now, l)
+		u.p.RecordOutcome(u.now, c, NoAnswer)
+		u.p.Release(u.now, c)
 		u.wait(time.Second)
 	}
-	if h.rest.proved != 15*time.Second || h.rest.lostFor != 0 {
-		t.Errorf("trusted for %v", h.rest.proved)
+	if s.liveness.proven != 15*time.Second || s.liveness.lossIdle != 0 {
+		t.Errorf("proven idle time %v", s.liveness.proven)
 	}
 }
 
-// TestRefusedOpenings covers a next hop that refuses all openings for 20 s, then accepts: it is not
-// asked all the time, whoever wants it hears at once, and it is back within a second.
+// TestRefusedOpenings checks the backoff at a server that refuses all openings for 20 s: few openings are
+// tried, waiting tickets are refused immediately, and a connection is opened within a second after the
+// server accepts again.
 func TestRefusedOpenings(t *testing.T) {
 	u := newUser(10)
 	u.fails = func() bool { return u.now < 20*time.Second }
 	for u.now < 20*time.Second {
-		u.ask(false)
+		u.exchange(false)
 		u.now += 20 * ms
 	}
 	if u.opens > 30 || u.refused < 500 {
-		t.Errorf("%d openings tried, %d told at once", u.opens, u.refused)
+		t.Errorf("%d openings tried, %d tickets refused immediately", u.opens, u.refused)
 	}
 	u.wait(time.Second)
 	before := u.refused
-	u.ask(false)
+	u.exchange(false)
 	if u.refused != before {
-		t.Error("not opened a second after it accepts again")
+		t.Error("no connection opened a second after the server accepts again")
 	}
 }
 
-// TestOneHopCannotHoldAll covers a next hop that hangs while its branches keep their legs.
-func TestOneHopCannotHoldAll(t *testing.T) {
+// TestOneServerCannotHoldAll checks that a server that hangs, and so keeps its connections in use, leaves
+// some for the other servers.
+func TestOneServerCannotHoldAll(t *testing.T) {
 	p := New[int](Config{MaxConns: 8, IdleTimeout: time.Minute})
 	p.SetServerState(1, lg.Ready)
 	p.SetServerState(2, lg.Ready)
@@ -401,180 +407,181 @@
 	}
 	p.Acquire(0, p.Server(2), 100, false)
 	last := p.Actions[len(p.Actions)-1]
-	if p.Server(1).legs > 4 || last.Kind != Open || last.Conn.Server.ID != 2 {
-		t.Errorf("%d legs at one next hop; the other: %d", p.Server(1).legs, last.Kind)
+	if p.Server(1).conns > 4 || last.Kind != Open || last.Conn.Server.ID != 2 {
+		t.Errorf("%d connections at one server; last action for the other: %d", p.Server(1).conns, last.Kind)
 	}
 }
 
-// TestSurplusOpening covers a leg that is being opened for a branch that is served meanwhile: the next
-// branch waits for it and opens none.
+// TestSurplusOpening checks that a ticket waits for a connection that is being opened for another ticket
+// which has been served meanwhile, and that none is opened for it.
 func TestSurplusOpening(t *testing.T) {
 	p := New[int](Config{MaxConns: 8, IdleTimeout: time.Minute})
 	p.SetServerState(1, lg.Ready)
-	h := p.Server(1)
-	p.Acquire(0, h, 1, false)
+	s := p.Server(1)
+	p.Acquire(0, s, 1, false)
 	p.Opened(0, p.Actions[0].Conn, OpenOK)
 	first := p.Actions[0].Conn
-	p.Acquire(ms, h, 2, false)
-	p.Release(2*ms, first) // serves 2, for which one is being opened
+	p.Acquire(ms, s, 2, false)
+	p.Release(2*ms, first) // serves ticket 2, for which one is being opened
 	p.Actions = p.Actions[:0]
-	p.Acquire(3*ms, h, 3, false)
-	if len(p.Actions) != 0 || h.opening != 1 {
-		t.Errorf("%d acts, %d being opened", len(p.Actions), h.opening)
+	p.Acquire(3*ms, s, 3, false)
+	if len(p.Actions) != 0 || s.opening != 1 {
+		t.Errorf("%d actions, %d being opened", len(p.Actions), s.opening)
 	}
 }
 
-// quick is a next hop whose exchanges take 2 ms, and 13 ms on a new leg, with one leg in use.
-func quick(t *testing.T) (p *Pool[int], h *Server[int], out *Conn[int]) {
+// fastServer returns a server whose exchanges take 2 ms, or 13 ms on a new connection, with one connection
+// in use.
+func fastServer(t *testing.T) (p *Pool[int], s *Server[int], inUse *Conn[int]) {
 	t.Helper()
 	p = New[int](Config{MaxConns: 40, IdleTimeout: time.Minute})
 	p.SetServerState(1, lg.Ready)
 	p.SetServerState(2, lg.Ready)
-	h = p.Server(1)
-	p.Acquire(0, h, 1, false)
-	out = p.Actions[0].Conn
-	p.Opened(ms, out, OpenOK)
-	p.Release(14*ms, out)
+	s = p.Server(1)
+	p.Acquire(0, s, 1, false)
+	inUse = p.Actions[0].Conn
+	p.Opened(ms, inUse, OpenOK)
+	p.Release(14*ms, inUse)
 	for i := range 20 {
 		at := time.Duration(20+10*i) * ms
-		p.Acquire(at, h, 2, false)
-		p.Release(at+2*ms, out)
+		p.Acquire(at, s, 2, false)
+		p.Release(at+2*ms, inUse)
 	}
 	p.Actions = p.Actions[:0]
-	p.Acquire(time.Second, h, 3, false)
+	p.Acquire(time.Second, s, 3, false)
 	if len(p.Actions) != 1 || p.Actions[0].Kind != Assign {
-		t.Fatalf("acts %v", p.Actions)
+		t.Fatalf("actions %v", p.Actions)
 	}
 	p.Actions = p.Actions[:0]
-	return p, h, out
+	return p, s, inUse
 }
 
-// TestWaitsForALegInUse covers a branch that is served sooner by a leg in use than by a new one; and
-// what becomes of it when that leg is late, or breaks.
-func TestWaitsForALegInUse(t *testing.T) {
-	p, h, out := quick(t)
-	p.Acquire(time.Second, h, 4, false)
+// TestWaitsForConnInUse checks that a ticket waits for a connection in use where that is sooner than a new
+// one, and that a new one is opened when the awaited connection is late or breaks.
+func TestWaitsForConnInUse(t *testing.T) {
+	p, s, inUse := fastServer(t)
+	p.Acquire(time.Second, s, 4, false)
 	if len(p.Actions) != 0 {
-		t.Fatalf("%d acts: want it to wait", len(p.Actions))
+		t.Fatalf("%d actions: the ticket should wait", len(p.Actions))
 	}
-	p.Release(time.Second+3*ms, out)
+	p.Release(time.Second+3*ms, inUse)
 	if len(p.Actions) != 1 || p.Actions[0].Kind != Assign || p.Actions[0].Ticket != 4 {
-		t.Errorf("acts %+v", p.Actions)
+		t.Errorf("actions %+v", p.Actions)
 	}
-	p, h, _ = quick(t)
-	p.Acquire(time.Second, h, 4, false)
-	if p.OpenForWaiters(time.Second+h.WaitTimeout(), h); len(p.Actions) != 1 || p.Actions[0].Kind != Open {
-		t.Errorf("late: acts %+v", p.Actions)
+	p, s, _ = fastServer(t)
+	p.Acquire(time.Second, s, 4, false)
+	if p.OpenForWaiters(time.Second+s.WaitTimeout(), s); len(p.Actions) != 1 || p.Actions[0].Kind != Open {
+		t.Errorf("late: actions %+v", p.Actions)
 	}
-	p, h, out = quick(t)
-	p.Acquire(time.Second, h, 4, false)
-	p.Drop(time.Second+ms, out)
+	p, s, inUse = fastServer(t)
+	p.Acquire(time.Second, s, 4, false)
+	p.Drop(time.Second+ms, inUse)
 	if len(p.Actions) != 2 || p.Actions[1].Kind != Open || p.Actions[1].Ticket != 4 {
-		t.Errorf("broken: acts %+v", p.Actions)
+		t.Errorf("broken: actions %+v", p.Actions)
 	}
-	p, h, _ = quick(t)
-	for i := range 10 { // more than the leg in use can serve in the time of an opening
-		p.Acquire(time.Second, h, 10+i, false)
+	p, s, _ = fastServer(t)
+	for i := range 10 { // more than the connection in use can serve during an opening
+		p.Acquire(time.Second, s, 10+i, false)
 	}
-	if h.opening == 0 || h.opening > 9 {
-		t.Errorf("%d opened for ten that wait", h.opening)
+	if s.opening == 0 || s.opening > 9 {
+		t.Errorf("%d connections opened for ten waiting tickets", s.opening)
 	}
 }
 
-// TestCap covers a server that turns away the first request on a leg and closes it: no more are opened
-// than it took, and one more is tried when others may have closed theirs.
-func TestCap(t *testing.T) {
-	p, h, _ := quick(t)
+// TestConnLimit checks that, after a server rejected the first request on a connection and closed it, no
+// more connections are opened than it accepted, and that one more is tried after connLimitTTL.
+func TestConnLimit(t *testing.T) {
+	p, s, _ := fastServer(t)
 	p.cfg.Eager = true
 	open := func(at time.Duration) bool {
 		p.Actions = p.Actions[:0]
-		p.Acquire(at, h, 99, false)
+		p.Acquire(at, s, 99, false)
 		opened := len(p.Actions) == 1 && p.Actions[0].Kind == Open
 		if opened {
-			l := p.Actions[0].Conn
-			p.Opened(at, l, OpenOK)
-			p.ConnLimitReached(at, l)
-			p.Drop(at, l)
+			c := p.Actions[0].Conn
+			p.Opened(at, c, OpenOK)
+			p.ConnLimitReached(at, c)
+			p.Drop(at, c)
 		}
 		return opened
 	}
 	at := time.Second + 10*ms
 	if !open(at) || open(at+ms) || open(at+time.Second) {
-		t.Error("opened beyond what was taken")
+		t.Error("opened more connections than the server accepts")
 	}
 	for range 21 {
 		at += 250 * ms
 		p.Sweep(at)
 	}
 	if !open(at) || open(at+ms) {
-		t.Error("not one more tried after a while")
+		t.Error("did not try exactly one more connection after a while")
 	}
 }
 
-// TestAhead covers traffic that keeps several legs busy: when the last idle one is taken, the next is
-// opened before it is wanted, and not more than the traffic keeps busy.
-func TestAhead(t *testing.T) {
-	p, h, out := quick(t)
-	p.Release(time.Second, out)
-	h.pace.rate = 1100 // times 2 ms: two are busy
+// TestOpenAhead checks that, when the last idle connection is assigned, the next one is opened ahead of
+// demand, and that no more are opened than the traffic keeps in use.
+func TestOpenAhead(t *testing.T) {
+	p, s, inUse := fastServer(t)
+	p.Release(time.Second, inUse)
+	s.demand.rate = 1100 // per second, times 2 ms: two are in use
 	p.Actions = p.Actions[:0]
-	p.Acquire(time.Second+ms, h, 5, false)
+	p.Acquire(time.Second+ms, s, 5, false)
 	if len(p.Actions) != 2 || p.Actions[1].Kind != Open || p.Actions[1].Ticket != 0 ||
-		h.Counts.OpenedAhead != 1 {
-		t.Fatalf("acts %+v", p.Actions)
+		s.Counts.OpenedAhead != 1 {
+		t.Fatalf("actions %+v", p.Actions)
 	}
 	p.Opened(time.Second+2*ms, p.Actions[1].Conn, OpenOK)
-	h.pace.rate = 10
+	s.demand.rate = 10
 	p.Actions = p.Actions[:0]
-	if p.Acquire(time.Second+3*ms, h, 6, false); len(p.Actions) != 1 {
-		t.Errorf("opened ahead without need: %+v", p.Actions)
+	if p.Acquire(time.Second+3*ms, s, 6, false); len(p.Actions) != 1 {
+		t.Errorf("opened ahead without demand: %+v", p.Actions)
 	}
 }
 
-// TestNothingIsOpenedToADrain covers a branch that waits for a leg in use when its next hop begins to
-// drain and that leg breaks: it hears at once.
-func TestNothingIsOpenedToADrain(t *testing.T) {
-	p, h, out := quick(t)
-	p.Acquire(time.Second, h, 4, false)
+// TestNothingOpenedToDrainingServer checks that a ticket that waits for a connection in use is refused
+// immediately when its server begins to drain, and that nothing is opened when that connection breaks.
+func TestNothingOpenedToDrainingServer(t *testing.T) {
+	p, s, inUse := fastServer(t)
+	p.Acquire(time.Second, s, 4, false)
 	p.SetServerState(1, lg.Draining)
 	if n := len(p.Actions); n != 1 || p.Actions[0].Kind != Refuse || p.Actions[0].Ticket != 4 {
-		t.Errorf("told of a drain: acts %+v", p.Actions)
+		t.Errorf("drain received: actions %+v", p.Actions)
 	}
-	p.OpenForWaiters(time.Second+ms, h)
-	p.Drop(time.Second+ms, out)
+	p.OpenForWaiters(time.Second+ms, s)
+	p.Drop(time.Second+ms, inUse)
 	if n := len(p.Actions); n != 2 || p.Actions[1].Kind != Close {
-		t.Errorf("acts %+v", p.Actions)
+		t.Errorf("actions %+v", p.Actions)
 	}
 }
 
-// openedAs is how an opening went that is well or not.
-func openedAs(ok bool) OpenResult {
+// openResult returns the result of an opening that succeeded or failed.
+func openResult(ok bool) OpenResult {
 	if ok {
 		return OpenOK
 	}
 	return OpenFailed
 }
 
-// TestLocalFault holds that an opening which failed by this machine's own fault delays no other one at its
-// next hop, and that who waited hears that no server is to blame.
+// TestLocalFault checks that an opening that failed by a fault of the proxy's own host delays no other one
+// to the same server, and that the refused ticket is told that the server is not at fault.
 func TestLocalFault(t *testing.T) {
-	for _, how := range []OpenResult{OpenFailed, OpenLocalFault} {
+	for _, result := range []OpenResult{OpenFailed, OpenLocalFault} {
 		p := New[int](Config{MaxConns: 8, IdleTimeout: time.Second})
 		p.SetServerState(1, lg.Ready)
-		h := p.Server(1)
-		p.Acquire(0, h, 7, false)
-		leg := p.Actions[0].Conn
+		s := p.Server(1)
+		p.Acquire(0, s, 7, false)
+		conn := p.Actions[0].Conn
 		p.Actions = nil
-		p.Opened(ms, leg, how)
-		local := how == OpenLocalFault
+		p.Opened(ms, conn, result)
+		local := result == OpenLocalFault
 		if len(p.Actions) != 1 || p.Actions[0].Kind != Refuse || p.Actions[0].Ticket != 7 ||
 			p.Actions[0].LocalFault != local {
-			t.Fatalf("%d: %+v", how, p.Actions)
+			t.Fatalf("%d: %+v", result, p.Actions)
 		}
 		p.Actions = nil
-		p.Acquire(2*ms, h, 8, false)
+		p.Acquire(2*ms, s, 8, false)
 		if opens := len(p.Actions) == 1 && p.Actions[0].Kind == Open; opens != local {
-			t.Errorf("%d: opened at once: %t", how, opens)
+			t.Errorf("%d: opened at once: %t", result, opens)
 		}
 	}
 }
