--- a/internal/reducer/attempts_test.go
+++ b/internal/reducer/attempts_test.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.s.bal = module
+		m.s.decider = module
 		m.routes(lg.FullList, lg.Ready, 1, 2, 3)
 		m.callers[1] = nil
 		m.step(ClientOpened{1})
@@ -109,7 +109,7 @@
 	m.callers[1] = nil
 	m.step(ClientOpened{1})
 	m.ask(1, 0)
-	m.hops[1].open, m.now = true, m.calls[0].deadline-margin
+	m.hops[1].open, m.now = true, m.calls[0].deadline-answerMargin
 	if v := m.verdict(ServerDialed{Conn: 1, OK: true}); v != Rejected {
 		t.Errorf("verdict %d for what was never sent", v)
 	}
@@ -119,7 +119,7 @@
 func TestDeadlineHoldsWithoutTheModule(t *testing.T) {
 	m, c := started(t)
 	m.step(RequestWritten{Conn: 1, OK: true})
-	m.pass(c.deadline - m.now - margin - 1)
+	m.pass(c.deadline - m.now - answerMargin - 1)
 	if c.answers != 0 {
 		t.Fatal("answered early")
 	}
@@ -134,11 +134,11 @@
 func TestTheModuleIsNotTakenAtItsWord(t *testing.T) {
 	m, _ := started(t)
 	m.s.effects = m.s.effects[:0]
-	m.s.act(lg.Action{Do: lg.Send, Request: 1, Server: 2})
+	m.s.execute(lg.Action{Do: lg.Send, Request: 1, Server: 2})
 	if len(m.s.effects) != 0 {
 		t.Errorf("sent twice: %+v", m.s.effects)
 	}
-	m.s.act(lg.Action{Do: lg.Refuse, Request: 1})
+	m.s.execute(lg.Action{Do: lg.Refuse, Request: 1})
 	if len(m.s.effects) != 1 || m.s.effects[0].Verdict != Failed {
 		t.Errorf("got %+v", m.s.effects)
 	}
@@ -180,7 +180,7 @@
 			m.routes(lg.Changes, lg.Draining, id)
 		}
 	}
-	rested := *m.s.legs[1].Leg
+	rested := *m.s.serverConns[1].Leg
 	rested.Rested = 100 * ms
 	for range 40 {
 		m.s.pool.Learn(m.s.now, &rested, pool.Broke)
--- a/internal/reducer/clients_test.go
+++ b/internal/reducer/clients_test.go
@@ -34,16 +34,16 @@
 	m.step(ResponseWritten{Conn: c.leg, OK: true})
 	m.open(2)
 	m.open(3)
-	m.pass(askWithin - ms) // says nothing for as long as it can, then half a request
+	m.pass(firstRequestTimeout - ms) // says nothing for as long as it can, then half a request
 	m.step(ClientReading{Conn: 3})
-	m.pass(3*time.Second - askWithin)
+	m.pass(3*time.Second - firstRequestTimeout)
 	if m.kept(2) || !m.writing[3] {
 		t.Error("a silent caller kept, or a slow one not told")
 	}
 	if !m.kept(c.leg) {
 		t.Error("a caller that had asked was closed")
 	}
-	if m.pass(idleWithin); len(m.callers) != 1 {
+	if m.pass(clientIdleTimeout); len(m.callers) != 1 {
 		t.Error("an idle leg kept for good")
 	}
 }
@@ -63,10 +63,10 @@
 		m.open(leg)
 		m.now += ms
 	}
-	m.pass(soonAsked)
+	m.pass(newClientGrace)
 	m.open(half + 1)
-	if m.kept(2) || !m.kept(c.leg) || m.s.held() != int(half) {
-		t.Errorf("kept a silent leg %t among %d", m.kept(2), m.s.held())
+	if m.kept(2) || !m.kept(c.leg) || m.s.openClients() != int(half) {
+		t.Errorf("kept a silent leg %t among %d", m.kept(2), m.s.openClients())
 	}
 	for leg := half + 2; m.kept(c.leg) && leg < 40; leg++ {
 		m.open(leg)
@@ -79,11 +79,11 @@
 	for leg := ConnID(1); leg <= most; leg++ {
 		m.open(leg)
 	}
-	if m.s.held() != int(most) {
-		t.Errorf("%d legs held of %d that have just come in", m.s.held(), most)
+	if m.s.openClients() != int(most) {
+		t.Errorf("%d legs held of %d that have just come in", m.s.openClients(), most)
 	}
-	if m.open(most + 1); m.kept(1) || !m.kept(most+1) || m.s.held() != int(most) {
-		t.Errorf("%d legs held where there is no room", m.s.held())
+	if m.open(most + 1); m.kept(1) || !m.kept(most+1) || m.s.openClients() != int(most) {
+		t.Errorf("%d legs held where there is no room", m.s.openClients())
 	}
 }
 
@@ -93,20 +93,20 @@
 	for _, late := range []time.Duration{-ms, 0, ms} {
 		m := newModel(t)
 		m.open(1)
-		m.pass(soonAsked)
+		m.pass(newClientGrace)
 		m.stopped = true
 		m.step(Stopping{})
-		m.pass(drainFor + late)
+		m.pass(drainDelay + late)
 		m.open(2)
 		m.open(3)
-		m.pass(2 * drainEvery)
+		m.pass(2 * drainInterval)
 		if m.kept(1) || !m.kept(2) {
 			t.Fatalf("%v: the old caller kept %t, the new one %t", late, m.kept(1), m.kept(2))
 		}
 		n := len(m.calls)
 		m.ask(2, 0)
 		c := m.calls[n]
-		if m.pass(soonAsked); m.kept(3) {
+		if m.pass(newClientGrace); m.kept(3) {
 			t.Errorf("%v: a silent caller kept", late)
 		}
 		if m.pass(time.Second); c.answers != 1 {
--- a/internal/reducer/closes.go
+++ b/internal/reducer/closes.go
@@ -1,33 +1,33 @@
 package reducer
 
-// CloseCause is why a client's connection was ended, or that its client ended it.
+// CloseCause is the reason why a client connection ended.
 type CloseCause uint8
 
-// The causes. Figures.Closes counts by them.
+// The causes. Metrics.Closes counts by them.
 const (
-	ClosedByClient       CloseCause = iota // its client closed it, or it broke
-	ClosedWriteFailed                      // an answer could not be written on it
-	ClosedLastAnswer                       // after an answer that was announced as its last
-	ClosedIdle                             // it rested for too long, or the proxy is stopping
-	ClosedForCapacity                      // others needed its descriptor
-	ClosedForMaintenance                   // the proxy's own machine goes out for work
+	ClosedByClient       CloseCause = iota // the client closed it, or it broke
+	ClosedWriteFailed                      // an answer could not be written
+	ClosedLastAnswer                       // after an answer that was announced as the last one
+	ClosedIdle                             // it was idle for too long, or the proxy is stopping
+	ClosedForCapacity                      // its descriptor was needed for others
+	ClosedForMaintenance                   // its answer streamed from a server that is taken out for maintenance
 	closeCauses
 )
 
-var closeNames = [closeCauses]string{"client", "unwritten", "last_answer", "idle", "room", "maintenance"}
+var closeCauseNames = [closeCauses]string{"client", "unwritten", "last_answer", "idle", "room", "maintenance"}
 
-// String is the cause's name in operators' figures.
-func (c CloseCause) String() string { return closeNames[c] }
+// String returns the cause's name in operators' metrics.
+func (c CloseCause) String() string { return closeCauseNames[c] }
 
-// countClose counts the end of a client's connection, once for each.
-func (s *State) countClose(c *caller, cause CloseCause) {
-	if c.counted {
+// countClose counts the end of a client connection, once for each.
+func (s *State) countClose(client *clientConn, cause CloseCause) {
+	if client.closeCounted {
 		return
 	}
-	c.counted = true
-	s.counts.closes[cause]++
+	client.closeCounted = true
+	s.counters.closes[cause]++
 	if s.cfg.Trace != nil {
-		s.trace("X %d %s", c.id, cause)
+		s.trace("X %d %s", client.id, cause)
 	}
-	s.changed()
+	s.metricsChanged()
 }
--- a/internal/reducer/events.go
+++ b/internal/reducer/events.go
@@ -1,8 +1,8 @@
-// Package reducer is the proxy's one reducer: every change of its state is a Step that
-// takes an event and the absolute time and returns the effects to carry out, in their order.
-// It owns the Balancer, the requests, their branches, both kinds of leg, the pools and all
-// deadlines. It does no I/O, reads no clock, starts no goroutine and knows no protocol: what
-// a request and an answer look like is opaque to it.
+// Package reducer holds the state machine of the proxy. Every change of its state is a Step, which
+// takes an event and the absolute time and returns the effects to carry out, in order. It owns the
+// Balancer, the requests, their attempts, the connections to clients and to servers, the pool and all
+// deadlines. It does no I/O, reads no clock, starts no goroutine and knows no protocol: payloads of
+// requests and answers are opaque to it.
 package reducer
 
 import (
@@ -12,92 +12,96 @@
 	"lilacglade/internal/pool"
 )
 
-// LegID names a connection: a caller leg, numbered by whoever accepts it, or a hop leg to a
-// next hop, numbered here. The two kinds are counted apart.
+// ConnID identifies a connection. The IDs of client connections are assigned by whoever accepts them,
+// those of server connections by the pool; the two ranges are independent.
 type ConnID uint64
 
-// Event is something that happened.
+// Event is an input of Step: something that happened outside the reducer.
 type Event interface{ event() }
 
-// CallerOpened says that a caller leg was accepted.
+// ClientOpened reports that a client connection was accepted.
 type ClientOpened struct{ Conn ConnID }
 
-// CallerReading says that a request has begun to come in and is not whole yet. By is when it must be
-// whole, as far as is known: it moves on as more comes in; 0: not known yet. Took is how long what has
-// come of its body may have taken.
+// ClientReading reports that a request has begun to arrive and is incomplete. Deadline is the time by
+// which it must be complete, as far as is known; it moves as more arrives, 0 if unknown. BodyAllowance
+// is how long the part of the body that has arrived was allowed to take.
 type ClientReading struct {
 	Conn                    ConnID
 	Deadline, BodyAllowance time.Duration
 }
 
-// CallerAsked brings a whole request. Name is its id among all callers' requests. Payload is
-// what a next hop is to get.
+// RequestReceived brings a complete request, or the head of one that is streamed. Name is its ID,
+// unique among the open requests of all clients. Payload is what a server is sent.
 type RequestReceived struct {
 	Conn          ConnID
 	Name          string
 	Class, Tenant int
 	Key           uint64
 	HasKey        bool
-	Deadline      time.Duration // when the caller gives up
+	Deadline      time.Duration // when the client gives up
 	Repeat        bool
-	Cost          time.Duration // expected work; 0: not known
+	Cost          time.Duration // expected work; 0 if unknown
 	Payload       any
-	Last          bool // the caller closes the leg behind its answer
-	// Stream says that the request is passed on as it comes in; CallerWhole or CallerSpoilt follows. Its
-	// time, May, counts from its last byte, and Deadline is when that and the time are over at the latest.
+	Last          bool // the client closes the connection after the answer
+	// Stream means that the request is forwarded while it arrives; RequestBodyComplete or
+	// RequestBodyFailed follows. Timeout then counts from its last byte, and Deadline is the latest
+	// time at which receiving it and the timeout can both have ended.
 	Stream  bool
 	Timeout time.Duration
 }
 
-// CallerWhole says that the last byte of a request that streams has come.
+// RequestBodyComplete reports that the last byte of a streamed request has arrived, at ReadAt.
 type RequestBodyComplete struct {
 	Conn   ConnID
 	ReadAt time.Duration
 }
 
-// CallerSpoilt says that the rest of a request that streams can't be read, or was too slow.
+// RequestBodyFailed reports that the rest of a streamed request can't be read, or arrived too slowly.
 type RequestBodyFailed struct {
 	Conn     ConnID
 	Payload  any // the answer to give
 	TimedOut bool
 }
 
-// CallerFaulty brings what can't be taken as a request. Last says that the leg is of no more use.
+// RequestInvalid reports input that can't be accepted as a request. Last means that the connection
+// can't be used again.
 type RequestInvalid struct {
 	Conn    ConnID
 	Payload any // the answer to give
 	Last    bool
 }
 
-// CallerFlooding says that a caller sent far ahead while its request is being worked on: what
-// it sent is dropped from here on, and the leg closes with the answer.
+// ClientFlooding reports that a client sent too much ahead while its request is in progress. What it
+// sent is discarded from here on, and the connection closes after the answer.
 type ClientFlooding struct{ Conn ConnID }
 
-// CallerProbed asks whether the proxy is ready.
+// HealthChecked reports that a client asks whether the proxy is ready.
 type HealthChecked struct {
 	Conn ConnID
 	Last bool
 }
 
-// CallerWritten ends the writing of an answer.
-// Keep says that the hop leg that an answer streamed from can be used again.
+// ResponseWritten reports that the writing of an answer has ended. Reusable means that the server
+// connection from which the answer was streamed can be used again.
 type ResponseWritten struct {
 	Conn     ConnID
 	OK       bool
 	Reusable bool
 }
 
-// CallerClosed says that a caller leg is gone.
+// ClientClosed reports that a client connection is gone.
 type ClientClosed struct{ Conn ConnID }
 
-// HopDialed ends a Dial. Local says that it failed by a fault of this machine, which none of a server's is.
+// ServerDialed reports the result of a Dial. LocalFault means that it failed because of this machine
+// and not because of the server.
 type ServerDialed struct {
 	Conn       ConnID
 	OK         bool
 	LocalFault bool
 }
 
-func (ev ServerDialed) opening() pool.Opening {
+// openResult returns the result in the terms of the pool.
+func (ev ServerDialed) openResult() pool.Opening {
 	switch {
 	case ev.OK:
 		return pool.OpenOK
@@ -107,89 +111,91 @@
 	return pool.OpenFailed
 }
 
-// HopWritten ends a Forward: OK when the last byte was written.
-// Gone says that what was written can't be written again.
+// RequestWritten reports the result of a Forward; OK means that the last byte was written. BodyConsumed
+// means that what was written can't be sent again.
 type RequestWritten struct {
 	Conn         ConnID
 	OK           bool
 	BodyConsumed bool
 }
 
-// HopAnswered brings a whole answer, or what is none. Keep says that the leg can be used again.
+// ServerAnswered brings a complete answer, or a result without one. Reusable means that the connection
+// can be used again.
 type ServerAnswered struct {
 	Conn         ConnID
 	Result       lg.Result
 	Load         lg.LoadReport
 	Payload      any
 	Reusable     bool
-	BodyConsumed bool // as of HopWritten
+	BodyConsumed bool // as in RequestWritten
 }
 
-// HopBegins says that an answer has begun to come in whose length is not known.
+// ResponseStarted reports that an answer of unknown length has begun to arrive.
 type ResponseStarted struct{ Conn ConnID }
 
-// HopStreams says that an answer has begun that is passed on as it comes in: Payload, to be given to
-// the caller.
+// ResponseStreaming reports that an answer has begun to arrive that is passed on while it arrives.
+// Payload is given to the client.
 type ResponseStreaming struct {
 	Conn    ConnID
 	Load    lg.LoadReport
 	Payload any
 }
 
-// HopUnfit says instead of HopWritten that nothing was written: before the request, bytes that
-// nobody had asked for came on the leg, or its end.
+// ServerConnUnusable replaces RequestWritten: nothing was written, because before the request the
+// connection had received unexpected bytes or its end.
 type ServerConnUnusable struct{ Conn ConnID }
 
-// HopUnsent says instead of HopWritten that nothing was written, since the request's client has left or too
-// much time has passed since it was decided. The leg is as good as before.
+// RequestUnsent replaces RequestWritten: nothing was written, because the request's client has left or
+// too much time has passed since the decision. The connection can still be used.
 type RequestUnsent struct{ Conn ConnID }
 
-// HopStray says that something came on a leg that owes no answer.
+// UnexpectedServerData reports bytes on a server connection on which no answer is due.
 type UnexpectedServerData struct{ Conn ConnID }
 
-// HopClosed says that a hop leg is gone.
+// ServerClosed reports that a server connection is gone.
 type ServerClosed struct{ Conn ConnID }
 
-// ListReached says that the call for the list that is out has a connection.
+// ListConnected reports that the pending call for the server list has a connection.
 type ListConnected struct{}
 
-// ListTold brings news of the server list, or a ListFailed.
+// ListReceived brings an update of the server list, or a ListFailed.
 type ListReceived struct {
 	List     lg.List
-	Late     bool // they answer a call that was given up: the one that is out is still owed its answer
-	NextFull bool // the next call asks for the whole list, which never waits, as the first one does
-	// Complete: the document named every server, though List holds only what it changed
+	Late     bool // the answer to a call that was given up; the pending call is still unanswered
+	NextFull bool // the next call asks for the full list and never waits, as the first one does
+	// Complete means that the document named every server, though List holds only what changed.
 	Complete       bool
-	ProcessingTime time.Duration // that reading the document and taking it in made
+	ProcessingTime time.Duration // spent on reading and applying the document
 }
 
-// Reloaded brings a new configuration: where discovery is and the caps, as in Config.
+// Reloaded brings a new configuration: the address of discovery and the limits, as in Config.
 type Reloaded struct {
-	// Settings are for requests from here on, as Settings.After returned them; nil: as before.
+	// Settings apply to requests from now on, as Settings.After returned them; nil leaves them
+	// unchanged.
 	Settings                   *lg.Settings
 	Discovery                  string
 	MaxClients, MaxServerConns int
 }
 
-// CallerQuiet answers EaseCaller.
+// ClientIdleConfirmed answers CheckClientIdle.
 type ClientIdleConfirmed struct{ Conn ConnID }
 
-// CallersTold answers TellCallers.
+// AcceptQueueDrained answers DrainAcceptQueue.
 type AcceptQueueDrained struct{}
 
-// Remembered brings what another process of this proxy had learned some time ago.
+// LearnedReceived brings what another process of this proxy had learned, Age ago.
 type LearnedReceived struct {
 	Age     time.Duration
 	Learned lg.Learned
 }
 
-// ReloadFailed says that a new configuration was turned down.
+// ReloadFailed reports that a new configuration was rejected.
 type ReloadFailed struct{}
 
-// Woken says that the time of the last Arm has come.
+// TimerFired reports that the time of the last ArmTimer has come.
 type TimerFired struct{}
 
-// Stopping says that the proxy is to end once all is answered.
+// Stopping asks the proxy to end once everything is answered.
 type Stopping struct{}
 
 func (ClientOpened) event()         {}
@@ -221,71 +227,75 @@
 func (TimerFired) event()           {}
 func (Stopping) event()             {}
 
-// Do says what an Effect asks for.
+// Do is the kind of an Effect.
 type Do uint8
 
-// The effects.
+// The effects. Most are followed by an event that reports the result.
 const (
-	AnswerClient     Do = iota // write an answer to the caller leg by At; CallerWritten follows
-	CheckClientIdle            // CallerQuiet follows if nothing has come on the caller leg that is not read yet
-	CloseClientWrite           // end sending on the caller leg, go on reading until it closes
+	AnswerClient     Do = iota // write an answer to the client connection by At; ResponseWritten follows
+	CheckClientIdle            // ClientIdleConfirmed follows if the client connection holds no unread input
+	CloseClientWrite           // shut down writing on the client connection; reading goes on until it closes
 	CloseClientConn
-	Dial    // open hop leg Leg to Server by At; HopDialed follows
-	Forward // write Payload to the hop leg by At; HopWritten follows
+	Dial    // open server connection Conn to Server by At; ServerDialed follows
+	Forward // write Payload to the server connection by At; RequestWritten follows
 	CloseServerConn
-	// StreamHop has the answer passed on that is coming in on the hop leg, if it still is; HopStreams follows.
+	// StreamResponse passes on the answer that is arriving on the server connection, if it still is;
+	// ResponseStreaming follows.
 	StreamResponse
-	ArmTimer // Woken is due at At
-	Watch    // ask discovery at Text for the server list's changes, which may wait until At; ListTold follows by
-	// GiveUp, or the next Watch. At another address than before, or Anew, drop the call that is out with its
-	// connection first: its ListTold never comes
+	ArmTimer // TimerFired is due at At
+	// Watch asks discovery at Text for changes of the server list, for which it may wait until At.
+	// ListReceived follows by GiveUpAt, or the next Watch does. If the address differs from the one
+	// before, or NewConn is set, the pending call and its connection are dropped first, and its
+	// ListReceived never comes.
+	Watch
 	Log           // a line for the operator
-	Publish       // Payload is *Figures, for operators to read
-	ReportFencing // Payload is Stopped, for the proxies to settle what goes out for work
-	// TellCallers asks whether anybody has connected who was not told here yet; CallersTold follows them.
+	Publish       // Payload is *Metrics, for operators to read
+	ReportFencing // Payload is FencingStatus, for the coordination group
+	// DrainAcceptQueue asks whether a client has connected that was not reported yet;
+	// AcceptQueueDrained follows the reports.
 	DrainAcceptQueue
-	Finish // all is answered: end
+	Finish // everything is answered: end the process
 )
 
-// Verdict is the kind of an answer.
+// Verdict is the kind of an answer to a client.
 type Verdict uint8
 
-// String is the verdict's name in logs and traces.
-func (v Verdict) String() string { return verdicts[v] }
+// String returns the verdict's name in logs and traces.
+func (v Verdict) String() string { return verdictNames[v] }
 
 // The verdicts.
 const (
-	Served           Verdict = iota // Payload is the next hop's answer
-	Rejected                        // not done, and trying again is harmless, after Advice
-	Failed                          // no promise whether it was done
-	DeadlineExceeded                // the same, for want of time
+	Served           Verdict = iota // Payload is the server's answer
+	Rejected                        // not executed, safe to retry after RetryAfter
+	Failed                          // may or may not have been executed
+	DeadlineExceeded                // the same, because the deadline has passed
 	Invalid                         // Payload is the answer
-	DuplicateName                   // its name belongs to a request that is open
-	ReadyNow                        // the proxy takes requests
-	NotReady                        // it doesn't yet, or no more
-	TooSlow                         // the request took too long to come in
+	DuplicateName                   // an open request has the same name
+	ReadyNow                        // the proxy accepts requests
+	NotReady                        // the proxy does not accept requests yet, or no longer
+	TooSlow                         // the request took too long to arrive
 )
 
-// Unserved is the Payload of a request's final answer that is no server's: what a log is to tell of it.
+// FailureDetails is the Payload of a final answer that no server gave, for the log.
 type FailureDetails struct {
-	Elapsed    time.Duration // from when the reducer was told of the request
+	Elapsed    time.Duration // since the reducer received the request
 	Attempts   int
-	LastResult lg.Result // of the last attempt that ended; no matter where there was none
+	LastResult lg.Result // of the last attempt that ended; undefined without attempts
 }
 
-// Effect is something to carry out. Which fields count depends on Do.
+// Effect is an output of Step: something to carry out. Which fields count depends on Do.
 type Effect struct {
 	Do         Do
 	Conn       ConnID
-	Client     ConnID // Forward: the caller leg whose request it is
+	Client     ConnID // Forward: the client connection of the request
 	Server     lg.ServerID
 	At         time.Duration
 	Verdict    Verdict
 	RetryAfter time.Duration
 	Payload    any
-	Last       bool // the answer is the leg's last
+	Last       bool // the answer is the last one on its connection
 	Text       string
-	StartBy    time.Duration // Forward: the first byte must not be written later; 0: no matter
-	NewConn    bool          // Watch: on a connection of its own
-	GiveUpAt   time.Duration // Watch: when the call counts as fallen silent
+	StartBy    time.Duration // Forward: the latest time for the first byte; 0 means no limit
+	NewConn    bool          // Watch: on a new connection
+	GiveUpAt   time.Duration // Watch: when the call counts as timed out
 }
--- a/internal/reducer/fuzz_test.go
+++ b/internal/reducer/fuzz_test.go
@@ -172,9 +172,9 @@
 				delete(m.writing, leg)
 				m.step(ResponseWritten{Conn: leg, OK: true})
 			}
-			m.pass(2 * drainEvery)
+			m.pass(2 * drainInterval)
 		}
-		if !m.done || len(m.s.requests)+len(m.s.names) != 0 || m.lasts > 0 {
+		if !m.done || len(m.s.requests)+len(m.s.openNames) != 0 || m.lasts > 0 {
 			t.Fatalf("finished %t with %d requests left, %d callers not told", m.done, len(m.s.requests), m.lasts)
 		}
 	})
--- a/internal/reducer/list.go
+++ b/internal/reducer/list.go
@@ -5,165 +5,170 @@
 	"lilacglade/internal/listcalls"
 )
 
-// listCalls is what is known of the server list, and of the calls for it.
-type listCalls struct {
+// listState is the state of the server list and of the calls for it.
+type listState struct {
 	*listcalls.Schedule
 	listLog
-	begun     bool     // the first call is due, or was made
-	confirmed bool     // the list service has answered
-	old       *lg.List // known from before, kept until it is clear that nothing newer is to be had
-	lapsed    bool     // the decision module knows that the list may not be used
-	used      bool     // it could be used once: this process may be told to be ready
+	started    bool     // the first call is scheduled, or was made
+	confirmed  bool     // the list service has answered
+	cached     *lg.List // from an earlier process, kept until it is clear that none newer is available
+	expired    bool     // the decider was notified that the list must not be used
+	everUsable bool     // the list was usable once: this process may report that it is ready
 }
 
-// listConfig is what the calls for the list go by.
-func listConfig(set *lg.Settings) listcalls.Config {
-	return listcalls.Config{Asked: set.AskForList, Every: set.AskEvery, Grace: set.DrainGrace, Me: set.Me,
-		Proxies: set.Balancers}
+// scheduleConfig returns the configuration of the call schedule.
+func scheduleConfig(settings *lg.Settings) listcalls.Config {
+	return listcalls.Config{Asked: settings.AskForList, Every: settings.AskEvery, Grace: settings.DrainGrace,
+		Me: settings.Me, Proxies: settings.Balancers}
 }
 
-// pushed tells whether lists are pushed: what discovery has counts as told then, asked for or not.
-func (s *State) pushed() bool { return !s.cfg.Settings.AskForList }
+// listPushed reports whether lists are pushed: then the proxy counts as notified of everything that
+// discovery has, whether or not it has called.
+func (s *State) listPushed() bool { return !s.cfg.Settings.AskForList }
 
-// expired tells whether what changed since the list was heard may count as notified, though this process has
-// not heard of it. Where lists are pushed everything counts at once, and nothing is known of it.
-func (s *State) expired() bool { return !s.pushed() && s.now >= s.list.UsableUntil() }
+// listExpired reports whether changes since the last update may count as notified, though this process
+// has not received them. Where lists are pushed every change counts at once, so there is no lease to
+// check.
+func (s *State) listExpired() bool { return !s.listPushed() && s.now >= s.list.UsableUntil() }
 
-// renew tells the decision module where the list can be used again, or can't any more.
-func (s *State) renew() {
-	expired := s.expired()
-	if expired == s.list.lapsed {
+// updateListLease notifies the decider when the list can be used again, or no longer.
+func (s *State) updateListLease() {
+	expired := s.listExpired()
+	if expired == s.list.expired {
 		return
 	}
-	s.list.lapsed = expired
-	s.tell(lg.ListLease{Expired: expired})
-	if s.list.used {
-		s.log(s.list.lapse(s.now, expired))
+	s.list.expired = expired
+	s.notify(lg.ListLease{Expired: expired})
+	if s.list.everUsable {
+		s.logLine(s.list.leaseChanged(s.now, expired))
 	}
-	s.list.used = s.list.used || !expired
-	s.changed()
-	s.readiness()
+	s.list.everUsable = s.list.everUsable || !expired
+	s.metricsChanged()
+	s.publishReadiness()
 }
 
-// told takes in the server list's news and goes on watching.
-func (s *State) told(ev ListReceived) {
+// listReceived applies an update of the server list and goes on watching.
+func (s *State) listReceived(ev ListReceived) {
 	list := ev.List
-	if list.Kind == lg.CachedList && s.pushed() && !s.list.confirmed && s.now < s.cfg.ConfirmTimeout {
-		s.list.old = &list // guards against sending by a list that counts as outdated from the first moment
+	if list.Kind == lg.CachedList && s.listPushed() && !s.list.confirmed && s.now < s.cfg.ConfirmTimeout {
+		// Otherwise requests would be sent by a list that counts as outdated from the start.
+		s.list.cached = &list
 		return
 	}
-	s.called(ev)
+	s.callEnded(ev)
 	if list.Kind == lg.ListFailed {
 		return
 	}
 	if list.Kind != lg.CachedList {
-		s.list.confirmed, s.list.old = true, nil
+		s.list.confirmed, s.list.cached = true, nil
 	}
-	if s.work != nil {
-		list = s.overlay(list)
+	if s.maintenance != nil {
+		list = s.overlayHolds(list)
 	}
-	s.tell(list)
+	s.notify(list)
 	if s.cfg.Trace != nil {
 		s.traceList(list)
 	}
-	s.spread(list)
-	s.pooled()
-	s.changed()
-	s.readiness()
+	s.applyList(list)
+	s.runPoolActions()
+	s.metricsChanged()
+	s.publishReadiness()
 }
 
-// spread tells the pool and the guard what a list says of each server.
-func (s *State) spread(list lg.List) {
-	for _, l := range list.Servers {
-		s.place(l)
-		s.pool.Told(l.ID, l.State)
+// applyList passes each server's state to the pool and its location to the send checks.
+func (s *State) applyList(list lg.List) {
+	for _, server := range list.Servers {
+		s.setLocation(server)
+		s.pool.Told(server.ID, server.State)
 	}
 	if list.Kind == lg.Changes {
 		return
 	}
 	named := make(map[lg.ServerID]bool, len(list.Servers))
-	for _, l := range list.Servers {
-		named[l.ID] = true
+	for _, server := range list.Servers {
+		named[server.ID] = true
 	}
-	for _, h := range s.pool.Hops() {
-		if !named[h.ID] {
-			delete(s.places, h.ID)
-			s.pool.Told(h.ID, lg.Gone)
+	for _, server := range s.pool.Hops() {
+		if !named[server.ID] {
+			delete(s.locations, server.ID)
+			s.pool.Told(server.ID, lg.Gone)
 		}
 	}
 }
 
-// called takes in the end of a call for the list, if it is one, and has the next one made in time. The
-// decision module hears of no call that failed: how calls follow each other is settled here alone.
-func (s *State) called(ev ListReceived) {
+// callEnded handles the end of a call for the list, if the update is one, and schedules the next call.
+// The decider is not notified of failed calls: only this package and listcalls decide when calls are
+// made.
+func (s *State) callEnded(ev ListReceived) {
 	switch {
 	case ev.List.Kind == lg.CachedList || ev.Late:
-		s.firstCall()
+		s.scheduleFirstCall()
 	case ev.List.Kind == lg.ListFailed && s.list.Out():
-		s.log(s.list.ended(s.now))
-		s.changed()
+		s.logLine(s.list.callFailed(s.now))
+		s.metricsChanged()
 		next := s.list.Failed(s.now)
-		s.log(s.list.failedCall(s.now, s.list.Number(), next))
-		s.clock.add(next, s.watch)
+		s.logLine(s.list.failureLine(s.now, s.list.Number(), next))
+		s.timers.add(next, s.watch)
 	case ev.List.Kind == lg.ListFailed: // of a call that was given up before
 	default:
-		s.log(s.list.answered(s.now))
+		s.logLine(s.list.callAnswered(s.now))
 		quiet := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
-		full := ev.List.Kind == lg.FullList || ev.Complete
-		s.clock.add(s.list.Answered(s.now, listcalls.Answer{Whole: full, Quiet: quiet, Known: !ev.NextFull,
+		complete := ev.List.Kind == lg.FullList || ev.Complete
+		s.timers.add(s.list.Answered(s.now, listcalls.Answer{Whole: complete, Quiet: quiet, Known: !ev.NextFull,
 			Work: ev.ProcessingTime}), s.watch)
 	}
 }
 
-// firstCall has the first call made, once it is known what the process knows from before.
-func (s *State) firstCall() {
-	if !s.list.begun && !s.pushed() {
-		s.list.begun = true
-		s.clock.add(s.list.First(s.now), s.watch)
+// scheduleFirstCall schedules the first call, once it is clear what the process knows from before.
+func (s *State) scheduleFirstCall() {
+	if !s.list.started && !s.listPushed() {
+		s.list.started = true
+		s.timers.add(s.list.First(s.now), s.watch)
 	}
 }
 
-// log writes a line, if there is one.
-func (s *State) log(line string) {
+// logLine logs a line unless it is empty.
+func (s *State) logLine(line string) {
 	if line != "" {
-		s.do(Effect{Do: Log, Text: line})
+		s.emit(Effect{Do: Log, Text: line})
 	}
 }
 
-// unconfirmed goes on by what is known where the list service has not answered in time.
-func (s *State) unconfirmed() {
-	if old := s.list.old; old != nil && !s.list.confirmed {
-		s.list.old = nil
-		s.told(ListReceived{List: *old})
+// confirmTimedOut goes on with the cached list if the list service has not answered in time.
+func (s *State) confirmTimedOut() {
+	if cached := s.list.cached; cached != nil && !s.list.confirmed {
+		s.list.cached = nil
+		s.listReceived(ListReceived{List: *cached})
 	}
-	s.readiness()
+	s.publishReadiness()
 }
 
-// watch asks for the server list, unless it has been asked for: both the end of a call and the Balancer want
-// the next one, and the list service answers one call after the other.
+// watch calls for the server list unless a call is pending. Both the end of a call and the decider
+// request the next one, but a proxy has one call open at a time.
 func (s *State) watch() {
-	if c, ok := s.list.Begin(s.now); ok {
-		s.call(c)
+	if call, ok := s.list.Begin(s.now); ok {
+		s.makeCall(call)
 	}
 }
 
-// call makes a call. One clock ends it, whatever becomes of the connection.
-func (s *State) call(c listcalls.Call) {
-	s.log(s.list.asks(s.now, c.Number))
+// makeCall makes a call. One timer ends it, whatever becomes of its connection.
+func (s *State) makeCall(call listcalls.Call) {
+	s.logLine(s.list.callStarted(s.now, call.Number))
 	if s.cfg.Trace != nil {
-		s.trace("W %s anew %t", s.cfg.Discovery, c.Anew)
+		s.trace("W %s anew %t", s.cfg.Discovery, call.Anew)
 	}
-	s.do(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + c.Wait, GiveUpAt: c.GiveUp, NewConn: c.Anew})
-	s.clock.add(c.GiveUp, func() { s.silent(c.Number) })
+	s.emit(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + call.Wait, GiveUpAt: call.GiveUp,
+		NewConn: call.Anew})
+	s.timers.add(call.GiveUp, func() { s.callTimedOut(call.Number) })
 }
 
-// silent gives up a call that has fallen silent, and makes the next one at once.
-func (s *State) silent(number int) {
+// callTimedOut gives up a call that got no answer in time, and makes the next one at once.
+func (s *State) callTimedOut(number int) {
 	next, ok := s.list.GiveUp(s.now, number)
 	if !ok {
 		return
 	}
-	s.log("discovery has fallen silent: asked anew")
-	s.log(s.list.ended(s.now))
-	s.call(next)
+	s.logLine("discovery has fallen silent: called again on a new connection")
+	s.logLine(s.list.callFailed(s.now))
+	s.makeCall(next)
 }
--- a/internal/reducer/listcalls_test.go
+++ b/internal/reducer/listcalls_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("reload %d: asked at %q, want %q", i, got, tc.want)
 		}
 	}
-	m.s.act(lg.Action{Do: lg.Subscribe})
+	m.s.execute(lg.Action{Do: lg.Subscribe})
 	if m.now += 3500 * ms; len(calls(TimerFired{})) != 0 {
 		t.Error("asked while a call is out")
 	}
--- a/internal/reducer/listlog.go
+++ b/internal/reducer/listlog.go
@@ -8,114 +8,119 @@
 	"lilacglade/internal/logburst"
 )
 
-// listLogEvery bounds the log's lines on calls that are made after others failed.
-const listLogEvery = time.Second
+// listLogInterval is the minimum time between two log lines on calls after failed ones, and between two
+// on failed calls.
+const listLogInterval = time.Second
 
-// listLog is what operators are told of the calls for the server list. Its zero value is not of use:
-// newListLog makes one.
+// listLog keeps what operators are shown of the calls for the server list. Use newListLog: the zero
+// value does not limit log lines.
 type listLog struct {
-	heard     bool
-	heardAt   time.Duration // when discovery last answered; before that, when the first call was made
-	endedAt   time.Duration // when the last call ended, 0 while one is out
-	gap       time.Duration // the longest time without a call that is out
-	failed    int
-	firstFail time.Duration
-	outdated  uint64
-	lapses    uint64 // times that the lease of a list ran out that had been used
-	withheld  uint64 // attempts that waited for a connection meanwhile
-	asked     bool
-	askedAt   time.Duration    // when the last call was made
-	lines     logburst.Limiter // on calls that are made after others failed
-	failures  logburst.Limiter // on calls that failed
+	received         bool
+	answeredAt       time.Duration // when discovery last answered; before that, when the first call was made
+	endedAt          time.Duration // when the last call ended; 0 while one is pending
+	longestPause     time.Duration // the longest time without a pending call
+	failedCalls      int
+	firstFailedAt    time.Duration
+	outdatedAttempts uint64
+	leaseExpirations uint64 // how often the lease of a list in use ran out
+	withheldAttempts uint64 // attempts that were waiting for a connection at that time
+	called           bool
+	calledAt         time.Duration    // when the last call was made
+	retryLines       logburst.Limiter // on calls after failed ones
+	failureLines     logburst.Limiter // on failed calls
 }
 
 func newListLog() listLog {
-	return listLog{lines: logburst.Limiter{Every: listLogEvery}, failures: logburst.Limiter{Every: listLogEvery}}
+	return listLog{retryLines: logburst.Limiter{Every: listLogInterval},
+		failureLines: logburst.Limiter{Every: listLogInterval}}
 }
 
-// asks takes in that a call is made, and returns a line for the log, empty where there is nothing to say.
-func (l *listLog) asks(now time.Duration, number int) string {
-	paused := time.Duration(0)
+// callStarted records that a call is made, and returns a log line, empty if there is nothing to report.
+func (l *listLog) callStarted(now time.Duration, number int) string {
+	pause := time.Duration(0)
 	if l.endedAt > 0 {
-		paused = now - l.endedAt
+		pause = now - l.endedAt
 	}
-	l.endedAt, l.askedAt = 0, now
-	if !l.asked {
-		l.asked, l.heardAt = true, now
+	l.endedAt, l.calledAt = 0, now
+	if !l.called {
+		l.called, l.answeredAt = true, now
 	}
-	if l.failed == 0 {
+	if l.failedCalls == 0 {
 		return ""
 	}
-	l.gap = max(l.gap, paused)
-	if _, ok := l.lines.Allow(now); !ok {
+	l.longestPause = max(l.longestPause, pause)
+	if _, ok := l.retryLines.Allow(now); !ok {
 		return ""
 	}
-	return fmt.Sprintf("server list: call %d is made %v after the last one ended; %d failed, unheard for %v",
-		number, paused.Round(time.Millisecond), l.failed, (now - l.heardAt).Round(time.Millisecond))
+	return fmt.Sprintf("server list: call %d is made %v after the last one ended; %d failed, no answer for %v",
+		number, pause.Round(time.Millisecond), l.failedCalls, (now - l.answeredAt).Round(time.Millisecond))
 }
 
-// ended takes in that a call has failed or fell silent, and returns a line for the log.
-func (l *listLog) ended(now time.Duration) string {
+// callFailed records that a call has failed or timed out, and returns a log line or an empty one.
+func (l *listLog) callFailed(now time.Duration) string {
 	l.endedAt = now
-	switch l.failed++; l.failed {
+	switch l.failedCalls++; l.failedCalls {
 	case 1:
-		l.firstFail = now
-	case outOfReach:
+		l.firstFailedAt = now
+	case unreachableFailures:
 		return "the list is out of reach"
 	}
 	return ""
 }
 
-// failedCall returns a line on a call that has just failed and when the next one is due, empty where the log
-// has had enough of them.
-func (l *listLog) failedCall(now time.Duration, number int, next time.Duration) string {
-	if _, ok := l.failures.Allow(now); !ok {
+// failureLine returns a log line on a call that has just failed and the time of the next one. It is
+// empty if the last such line is less than listLogInterval ago.
+func (l *listLog) failureLine(now time.Duration, number int, next time.Duration) string {
+	if _, ok := l.failureLines.Allow(now); !ok {
 		return ""
 	}
-	return fmt.Sprintf("server list: call %d failed after %v, the next one is due in %v; heard %v ago", number,
-		(now - l.askedAt).Round(time.Millisecond), (next - now).Round(time.Millisecond),
-		l.age(now).Round(time.Millisecond))
+	return fmt.Sprintf("server list: call %d failed after %v, the next one is due in %v; last answer %v ago",
+		number, (now - l.calledAt).Round(time.Millisecond), (next - now).Round(time.Millisecond),
+		l.sinceAnswer(now).Round(time.Millisecond))
 }
 
-// age is how long ago discovery last answered; before that, how long ago the first call was made.
-func (l *listLog) age(now time.Duration) time.Duration {
-	if !l.asked {
+// sinceAnswer returns how long ago discovery last answered; before that, how long ago the first call
+// was made.
+func (l *listLog) sinceAnswer(now time.Duration) time.Duration {
+	if !l.called {
 		return 0
 	}
-	return now - l.heardAt
+	return now - l.answeredAt
 }
 
-// outOfReach is how many calls in a row fail before the list counts as out of reach.
-const outOfReach = 2
+// unreachableFailures is the number of successive failed calls after which the list service counts as
+// unreachable.
+const unreachableFailures = 2
 
-// answered takes in that discovery has answered, and returns a line for the log.
-func (l *listLog) answered(now time.Duration) (line string) {
-	if l.failed > 0 {
+// callAnswered records that discovery has answered, and returns a log line or an empty one.
+func (l *listLog) callAnswered(now time.Duration) (line string) {
+	if l.failedCalls > 0 {
 		line = fmt.Sprintf("server list: discovery answers again, %v after a call first failed; %d failed",
-			(now - l.firstFail).Round(time.Millisecond), l.failed)
+			(now - l.firstFailedAt).Round(time.Millisecond), l.failedCalls)
 	}
-	l.heard, l.heardAt, l.endedAt, l.failed = true, now, now, 0
+	l.received, l.answeredAt, l.endedAt, l.failedCalls = true, now, now, 0
 	return line
 }
 
-// lapse takes in that the list's lease has run out or holds again, and returns a line for the log.
-func (l *listLog) lapse(now time.Duration, expired bool) string {
+// leaseChanged records that the lease of the list has run out or was renewed, and returns a log line.
+func (l *listLog) leaseChanged(now time.Duration, expired bool) string {
 	if !expired {
 		return "server list: it may be used again"
 	}
-	l.lapses++
-	return fmt.Sprintf("server list: heard %v ago, it may be out of date: nothing new is sent until it is heard",
-		l.age(now).Round(time.Millisecond))
+	l.leaseExpirations++
+	return fmt.Sprintf("server list: last answer %v ago, may be out of date: no new attempts until the next one",
+		l.sinceAnswer(now).Round(time.Millisecond))
 }
 
-// sent takes in that an attempt is sent by the list that there is.
-func (l *listLog) sent(now time.Duration) {
-	if l.failed > 0 && now-l.heardAt > listcalls.NewsBy {
-		l.outdated++
+// attemptSent records that an attempt is sent by the current list.
+func (l *listLog) attemptSent(now time.Duration) {
+	if l.failedCalls > 0 && now-l.answeredAt > listcalls.NewsBy {
+		l.outdatedAttempts++
 	}
 }
 
-func (l *listLog) figures(now time.Duration) ListMetrics {
-	return ListMetrics{Received: l.heard, SinceAnswer: l.age(now), LongestPause: l.gap, FailedCalls: l.failed,
-		OutdatedAttempts: l.outdated, LeaseExpirations: l.lapses, WithheldAttempts: l.withheld}
+func (l *listLog) metrics(now time.Duration) ListMetrics {
+	return ListMetrics{Received: l.received, SinceAnswer: l.sinceAnswer(now), LongestPause: l.longestPause,
+		FailedCalls: l.failedCalls, OutdatedAttempts: l.outdatedAttempts, LeaseExpirations: l.leaseExpirations,
+		WithheldAttempts: l.withheldAttempts}
 }
--- a/internal/reducer/listlog_test.go
+++ b/internal/reducer/listlog_test.go
@@ -27,7 +27,7 @@
 	})
 	l.next(listOf(lg.CachedList, lg.Ready, 1))
 	l.next(listOf(lg.FullList, lg.Ready, 1))
-	if got := l.s.list.figures(l.now); !got.Received || got.FailedCalls != 0 {
+	if got := l.s.list.metrics(l.now); !got.Received || got.FailedCalls != 0 {
 		t.Errorf("before: %+v", got)
 	}
 	heard := l.now
@@ -39,7 +39,7 @@
 	if want := "call 2 failed after 1s, the next one is due in "; !strings.Contains(l.lines.String(), want) {
 		t.Errorf("logged %q, want %q", l.lines.String(), want)
 	}
-	got := l.s.list.figures(l.now)
+	got := l.s.list.metrics(l.now)
 	if got.FailedCalls != 1 || got.LongestPause != paused || (got.SinceAnswer-(l.now-heard)).Abs() > 200*ms {
 		t.Errorf("while it fails: %+v, paused %v", got, paused)
 	}
@@ -49,7 +49,7 @@
 	if !strings.Contains(l.logged(), "answers again") || !strings.Contains(l.logged(), "2 failed") {
 		t.Errorf("logged %q", l.logged())
 	}
-	if got := l.s.list.figures(l.now); got.FailedCalls != 0 || got.SinceAnswer != 0 {
+	if got := l.s.list.metrics(l.now); got.FailedCalls != 0 || got.SinceAnswer != 0 {
 		t.Errorf("after: %+v", got)
 	}
 }
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/maintenance_test.go
@@ -38,7 +38,7 @@
 			case Dial:
 				todo = append(todo, step(ServerDialed{Conn: e.Conn, OK: true}, at)...)
 			case Forward:
-				got = got || s.legs[e.Conn].Hop.ID == id
+				got = got || s.serverConns[e.Conn].Hop.ID == id
 				todo = append(todo, step(RequestWritten{Conn: e.Conn, OK: true}, at)...)
 				todo = append(todo, step(ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}, at)...)
 			}
@@ -114,21 +114,21 @@
 		}
 		clear := false
 		for range 100 {
-			now += stopEvery / 2
+			now += clearPollInterval / 2
 			clear = clear || cleared(step(TimerFired{}, now))
 		}
-		if clear || len(s.legs) != 1 {
+		if clear || len(s.serverConns) != 1 {
 			t.Errorf("%+v: clear with a request there", tc)
 		}
 		if tc.lapse {
 			if now += 2 * time.Second; !cleared(step(TimerFired{}, now)) &&
-				!cleared(step(TimerFired{}, now+stopEvery)) {
+				!cleared(step(TimerFired{}, now+clearPollInterval)) {
 				t.Errorf("%+v: not cut after the lease and the longest deadline", tc)
 			}
 			continue
 		}
 		done := step(ServerAnswered{Conn: hop, Result: lg.OK, Reusable: true}, now)
-		if !cleared(append(done, step(TimerFired{}, now+2*stopEvery)...)) {
+		if !cleared(append(done, step(TimerFired{}, now+2*clearPollInterval)...)) {
 			t.Errorf("%+v: never clear", tc)
 		}
 	}
@@ -154,7 +154,7 @@
 	f.Index = 4
 	step(FencingUpdated{Facts: f, OwnGrant: 4}, now)
 	empty := func(long time.Duration) (got bool) {
-		for end := now + long; now < end; now += drainEvery {
+		for end := now + long; now < end; now += drainInterval {
 			for _, e := range step(TimerFired{}, now) {
 				got = got || e.Do == ReportFencing && e.Payload.(FencingStatus).OwnGrant == 4
 				if e.Do == CheckClientIdle {
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.work != nil {
+	if s.maintenance != nil {
 		t.Error("there is something to look at")
 	}
 	for _, e := range s.Step(time.Hour, FencingUpdated{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
--- a/internal/reducer/model_test.go
+++ b/internal/reducer/model_test.go
@@ -172,7 +172,7 @@
 			m.t.Fatal("an unsafe request sent again after it may have run")
 		case m.state[h.server] != lg.Ready:
 			m.t.Fatal("forwarded to a next hop that takes nothing new")
-		case m.now >= c.deadline-margin:
+		case m.now >= c.deadline-answerMargin:
 			m.t.Fatal("forwarded after its time")
 		case c.mayRun && m.now-c.ranAt >= m.s.cfg.Settings.Classes[c.class].Memory:
 			m.t.Fatal("repeated after the window in which repeats are dropped")
@@ -220,8 +220,8 @@
 // caller saw, or as in progress.
 func (m *model) counted() {
 	m.t.Helper()
-	for m.s.counts.due { // what is published is not the newest
-		m.pass(publishEvery / 4)
+	for m.s.counters.publishScheduled { // what is published is not the newest
+		m.pass(publishInterval / 4)
 	}
 	open, want := 0, []RequestCounts{{Class: "edit"}, {Class: "upload"}}
 	for _, c := range m.calls {
@@ -240,7 +240,7 @@
 	}
 	if !slices.Equal(m.figures.Handled, want) || m.figures.InProgress != open ||
 		m.figures.RequestsWritten != m.tries ||
-		m.s.counts.taken != uint64(len(m.calls)) {
+		m.s.counters.received != uint64(len(m.calls)) {
 		m.t.Fatalf("figures %+v, want %+v, %d in progress and %d tries", m.figures, want, open, m.tries)
 	}
 }
@@ -284,9 +284,9 @@
 		m.now = min(end, max(m.now, m.armed))
 		m.step(TimerFired{})
 	}
-	if len(m.s.legs) != len(m.hops) || len(m.s.callers) != len(m.callers) {
-		m.t.Fatalf("%d hop legs remembered of %d, %d caller legs of %d", len(m.s.legs), len(m.hops),
-			len(m.s.callers), len(m.callers))
+	if len(m.s.serverConns) != len(m.hops) || len(m.s.clients) != len(m.callers) {
+		m.t.Fatalf("%d hop legs remembered of %d, %d caller legs of %d", len(m.s.serverConns), len(m.hops),
+			len(m.s.clients), len(m.callers))
 	}
 	for id, h := range m.hops {
 		if h.feeds != nil && !m.flows[h.feeds] {
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -60,7 +60,7 @@
 	}
 	o := &outage{T: t, s: s, now: time.Hour}
 	o.step(listOf(lg.CachedList, lg.Ready, 1))
-	o.s.firstCall()
+	o.s.scheduleFirstCall()
 	o.connect()
 	for !o.out {
 		o.pass(10 * ms)
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -53,7 +53,7 @@
 	if n := refused(2); n != 1 || m.calls[1].verdict != Rejected {
 		t.Errorf("the new request was tried %d times", n)
 	}
-	m.pass(publishEvery)
+	m.pass(publishInterval)
 	var names []string
 	for _, h := range m.figures.Handled {
 		names = append(names, fmt.Sprint(h.Class, h.Dropped))
--- a/internal/reducer/guard_test.go
+++ b/internal/reducer/sendchecks_test.go
@@ -54,7 +54,7 @@
 			case Dial:
 				next = append(next, ServerDialed{Conn: e.Conn, OK: true})
 			case Forward:
-				g.forwards, g.last = append(g.forwards, g.s.legs[e.Conn].Hop.ID), e.Conn
+				g.forwards, g.last = append(g.forwards, g.s.serverConns[e.Conn].Hop.ID), e.Conn
 				next = append(next, RequestWritten{Conn: e.Conn, OK: true})
 			case AnswerClient:
 				g.verdicts = append(g.verdicts, e.Verdict)
@@ -159,7 +159,7 @@
 		if n := forwards(RequestUnsent{Conn: 1}); n != want {
 			t.Errorf("left %t: sent %d times more, want %d", left, n, want)
 		}
-		if _, open := s.names["r"]; open == left {
+		if _, open := s.openNames["r"]; open == left {
 			t.Errorf("left %t: remembered %t", left, open)
 		}
 	}
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -11,410 +11,418 @@
 	"lilacglade/internal/sendguard"
 )
 
-// Times of the mechanism itself.
+// Timeouts and intervals of the state machine.
 const (
-	margin     = 5 * time.Millisecond // the final answer leaves this long before the caller gives up
-	sweepEvery = 250 * time.Millisecond
-	askWithin  = 2 * time.Second         // a new leg that has sent nothing by then is closed
-	readWithin = 2500 * time.Millisecond // a request must come whole, the first counted from its leg's start
-	soonAsked  = 250 * time.Millisecond  // callers who mean to ask have begun by then,
-	soonRead   = time.Second             // and are through with it by then
-	idleWithin = 10 * time.Second        // a leg that is idle longer is closed
-	takeWithin = 10 * time.Second        // an answer that its caller doesn't read is given up
-	partWithin = time.Second             // a leg whose sending has ended is closed at the latest
-	drainFor   = 400 * time.Millisecond  // callers still come this long after a planned stop begins
-	openFor    = 20 * time.Millisecond   // an answer of unknown length is held back for this
-	drainEvery = 50 * time.Millisecond   // and from then on idle ones are let go so often
+	answerMargin         = 5 * time.Millisecond // the final answer is given this long before the client gives up
+	sweepInterval        = 250 * time.Millisecond
+	firstRequestTimeout  = 2 * time.Second         // a new connection that has sent nothing is closed after this
+	requestReadTimeout   = 2500 * time.Millisecond // to receive a request; the first counts from its connection
+	newClientGrace       = 250 * time.Millisecond  // clients about to send a request have begun by then,
+	usualReadTime        = time.Second             // and have sent all of it by then
+	clientIdleTimeout    = 10 * time.Second        // an idle client connection is closed after this
+	responseWriteTimeout = 10 * time.Second        // an answer that its client doesn't read is given up
+	closeWriteTimeout    = time.Second             // from closing the write side to closing the connection
+	drainDelay           = 400 * time.Millisecond  // new clients still arrive this long after a stop begins
+	streamDelay          = 20 * time.Millisecond   // an answer of unknown length is held back for this long
+	drainInterval        = 50 * time.Millisecond   // after drainDelay, between two closings of idle connections
 )
 
-// Config is what a State knows from its start on.
+// Config is the initial configuration of a State.
 type Config struct {
 	Settings          lg.Settings
 	Seed              uint64
-	MaxClients        int           // caller legs held at once
-	MaxServerConns    int           // hop legs held at once
-	ServerIdleTimeout time.Duration // an idle hop leg is closed after this at the latest
-	Discovery         string        // where to ask for the server list
+	MaxClients        int           // client connections open at once
+	MaxServerConns    int           // server connections open at once
+	ServerIdleTimeout time.Duration // an idle server connection is closed after this at the latest
+	Discovery         string        // address of the list service
 	Decider           Decider       // nil: the decision module
-	Pool              pool.Config   // the lab's; what is named above holds in any case
-	Trace             Tracer        // nil: none
-	PublishMetrics    bool          // publish figures
-	// Confirm: not ready before discovery has answered, or this time has come; 0: at once
+	Pool              pool.Config   // options of the lab; the fields above override its limits
+	Trace             Tracer        // nil: no trace
+	PublishMetrics    bool          // emit Publish effects
+	// ConfirmTimeout is the time until which the proxy is not ready unless discovery has answered; 0
+	// means that it does not wait.
 	ConfirmTimeout time.Duration
-	// Overlap: another process of this proxy holds its part of the hop legs until then; 0: there is none
+	// OverlapUntil is the time until which another process of this proxy holds its share of the server
+	// connections; 0 if there is none.
 	OverlapUntil time.Duration
-	// Unguarded: attempts are sent whatever rule they break, for tests of the lab's judge
+	// SkipSendChecks sends attempts that break a rule, too, for tests of the lab's checks.
 	SkipSendChecks bool
-	// Work: machines are taken out for work by what Settled tells; nothing is sent before it told of a lease
+	// Maintenance means that servers are taken out for maintenance as FencingUpdated reports; nothing
+	// is sent before it has reported a lease.
 	Maintenance bool
 }
 
-// Decider chooses the server, whether to try again and what to refuse: the decision module
-// (lg.Balancer), or what the lab plays in its place. It keeps to the contract of lg.Balancer.Handle:
-// no I/O, no clock, the same events give the same actions, and the slice is its own.
+// Decider chooses servers, retries and rejections: the decision module (lg.Balancer), or a substitute
+// of the lab. It follows the contract of lg.Balancer.Handle: no I/O, no clock, equal events give equal
+// actions, and it owns the returned slice.
 type Decider interface {
 	Handle(now time.Duration, ev lg.Event) []lg.Action
 }
 
-// State is the whole state of a proxy. New makes one; one goroutine owns it.
+// State is the complete state of a proxy. Use New to create one; it belongs to one goroutine.
 type State struct {
-	cfg      Config
-	bal      Decider
-	now      time.Duration
-	effects  []Effect
-	todo     []lg.Event // for the Balancer
-	clock    clock
-	armed    time.Duration
-	callers  map[ConnID]*caller
-	parting  int // of them, that get nothing more
-	requests map[lg.RequestID]*request
-	names    map[string]bool // of the requests
-	pool     *pool.Pool[*branch]
-	legs     map[ConnID]*hopLeg
-	lastID   lg.RequestID
-	list     listCalls
-	stopping bool
-	drained  bool // no more callers are expected
-	telling  bool // whoever has come by now is being told
-	allTold  bool // and was, in this step
-	counts   counts
-	places   map[lg.ServerID]sendguard.Place
-	broken   sendguard.Counts
-	work     *work // nil: no machine is taken out by what proxies settle
+	cfg                 Config
+	decider             Decider
+	now                 time.Duration
+	effects             []Effect
+	pendingEvents       []lg.Event // for the decider
+	timers              timerQueue
+	armedAt             time.Duration
+	clients             map[ConnID]*clientConn
+	closingClients      int // clients in phase clientClosing
+	requests            map[lg.RequestID]*request
+	openNames           map[string]bool // of all requests in requests
+	pool                *pool.Pool[*attempt]
+	serverConns         map[ConnID]*serverConn
+	lastRequestID       lg.RequestID
+	list                listState
+	stopping            bool
+	drained             bool // no more clients are expected
+	drainingAcceptQueue bool // DrainAcceptQueue was requested and is unanswered
+	acceptQueueDrained  bool // it was answered in this step
+	counters            counters
+	locations           map[lg.ServerID]sendguard.Place
+	violations          sendguard.Counts
+	maintenance         *maintenance // nil: no maintenance is coordinated between proxies
 }
 
-// callerPhase is where a caller leg stands.
-type callerPhase uint8
+// clientPhase is the phase of a client connection.
+type clientPhase uint8
 
 const (
-	callerIdle callerPhase = iota
-	callerReading
-	callerAsking    // its request is being worked on
-	callerAnswering // its answer is being written
-	callerParting   // its last answer was written
+	clientIdle clientPhase = iota
+	clientReading
+	clientWaiting   // its request is in progress
+	clientAnswering // its answer is being written
+	clientClosing   // its last answer was written
 )
 
-type caller struct {
-	id    ConnID
-	phase callerPhase
-	since time.Duration // start of the phase; of the leg, until it has asked
-	by    time.Duration // reading: when the request must be whole; 0: not known
-	feed  *hopLeg       // answering: where the answer streams from
-	asked bool          // it has brought something whole
-	eased bool          // it is to be let go if nothing has come on it
-	// wanted: its descriptor is, by others. counted: its end was counted
-	wanted, counted bool
-	req             *request
-	last            bool // to be closed after the answer
-	over            bool // beyond the cap
+// clientConn is a connection to a client and the request on it.
+type clientConn struct {
+	id           ConnID
+	phase        clientPhase
+	since        time.Duration // start of the phase; until the first request, of the connection
+	readDeadline time.Duration // reading: when the request must be complete; 0 if unknown
+	source       *serverConn   // answering: the server connection that the answer streams from
+	hasRequested bool          // it has sent a complete request, or was answered
+	idleCheck    bool          // it is to be closed if no input is pending
+	// evicted means that its descriptor is needed elsewhere, closeCounted that its end was counted.
+	evicted, closeCounted bool
+	req                   *request
+	closeAfterAnswer      bool // close it after the answer
+	overLimit             bool // it exceeds MaxClients
 }
 
-// request is a request that is not answered, or whose branch is still out.
+// request is a request that is unanswered, or of which an attempt is still open.
 type request struct {
-	id       lg.RequestID
-	name     string
-	class    int
-	unsafe   bool
-	caller   *caller // nil once it has left
-	count    *RequestCounts
-	key      uint64        // 0: none
-	came     time.Duration // when it was told here
-	deadline time.Duration
-	reachBy  time.Duration // a next hop should have it whole by then
-	reached  bool          // one had it whole
-	payload  any
-	branch   *branch   // the one that is out
-	sent     int       // branches so far
-	result   lg.Result // of the last one that ended
-	mayRun   bool      // a branch may have run: this one
-	ran      sendguard.Ran
-	late     bool          // a branch has timed out
-	stream   bool          // it is passed on as it comes in,
-	may      time.Duration // and its time counts from its last byte,
-	whole    time.Duration // which came then; 0: not yet
-	gone     bool          // it can't be sent again
-	flowing  bool          // its answer is passed on as it comes in
-	done     bool          // the final answer is given, or none is owed
+	id           lg.RequestID
+	name         string
+	class        int
+	unsafe       bool
+	client       *clientConn // nil once it has left
+	counts       *RequestCounts
+	key          uint64        // 0: none
+	receivedAt   time.Duration // when the reducer received it
+	deadline     time.Duration
+	deliverBy    time.Duration // a server should have received all of it by then
+	delivered    bool          // a server has received all of it
+	payload      any
+	attempt      *attempt  // the open one; nil if there is none
+	attempts     int       // attempts so far
+	lastResult   lg.Result // of the last attempt that ended
+	mayHaveRun   bool      // an attempt may have run: firstRun
+	firstRun     sendguard.Ran
+	timedOut     bool          // an attempt has timed out
+	stream       bool          // it is forwarded while it arrives,
+	timeout      time.Duration // and its timeout counts from its last byte,
+	completeAt   time.Duration // which arrived at this time; 0 if it has not
+	bodyConsumed bool          // it can't be sent again
+	streaming    bool          // its answer is passed on while it arrives
+	done         bool          // the final answer was given, or none is due
 }
 
-// branch is one attempt of a request.
-type branch struct {
-	req    *request
-	number int
-	hop    *pool.Hop[*branch]
-	sent   time.Duration
-	until  time.Duration
-	begin  time.Duration   // its first byte must not be written later; 0: no matter
-	leg    *hopLeg         // nil while it waits for one
-	place  sendguard.Place // of its server, as it was when it was sent
+// attempt is one attempt of a request.
+type attempt struct {
+	req      *request
+	number   int
+	server   *pool.Hop[*attempt]
+	sentAt   time.Duration
+	deadline time.Duration
+	startBy  time.Duration   // the latest time for its first byte; 0 means no limit
+	conn     *serverConn     // nil while it waits for a connection
+	location sendguard.Place // of its server at the time of sending
 }
 
-// hopPhase is where a hop leg stands beyond what the pool knows.
-type hopPhase uint8
+// serverConnPhase is the phase of a server connection, in addition to its state in the pool.
+type serverConnPhase uint8
 
 const (
-	hopPooled hopPhase = iota // being opened, or idle
-	hopWriting
-	hopWaiting   // for an answer
-	hopEarly     // answered while the request is still being written
-	hopStreaming // its answer is being passed on as it comes in
+	connPooled serverConnPhase = iota // being opened, or idle
+	connWriting
+	connWaiting       // for an answer
+	connAnsweredEarly // answered while the request is still being written
+	connStreaming     // its answer is passed on while it arrives
 )
 
-// hopLeg is a connection to a next hop: the pool's leg, and the exchange on it.
-type hopLeg struct {
-	*pool.Leg[*branch]
-	phase  hopPhase
-	branch *branch // nil when nobody waits for its answer any more
-	closed bool    // the connection broke while the request was being written
-	keep   bool    // early answer: the leg can be used again
+// serverConn is a connection to a server: the pool's connection and the exchange on it.
+type serverConn struct {
+	*pool.Leg[*attempt]
+	phase    serverConnPhase
+	attempt  *attempt // nil if nobody waits for the answer
+	closed   bool     // the connection broke while the request was being written
+	reusable bool     // the connection can be used again after the exchange
 }
 
-// New returns a State. Its first effects come with the first Step.
+// New returns a State. The first call of Step returns its first effects.
 func New(cfg Config) (*State, error) {
-	bal := cfg.Decider
-	if bal == nil {
-		module, err := lg.New(cfg.Settings, cfg.Seed)
+	decider := cfg.Decider
+	if decider == nil {
+		balancer, err := lg.New(cfg.Settings, cfg.Seed)
 		if err != nil {
 			return nil, err
 		}
-		bal = module
+		decider = balancer
 	}
-	s := &State{cfg: cfg, bal: bal, callers: map[ConnID]*caller{}, requests: map[lg.RequestID]*request{},
-		names: map[string]bool{}, legs: map[ConnID]*hopLeg{}, places: map[lg.ServerID]sendguard.Place{}}
+	s := &State{cfg: cfg, decider: decider, clients: map[ConnID]*clientConn{},
+		requests: map[lg.RequestID]*request{}, openNames: map[string]bool{},
+		serverConns: map[ConnID]*serverConn{}, locations: map[lg.ServerID]sendguard.Place{}}
 	cfg.Pool.Most, cfg.Pool.Idle = cfg.MaxServerConns, cfg.ServerIdleTimeout
-	s.pool = pool.New[*branch](cfg.Pool)
-	s.list = listCalls{Schedule: listcalls.New(listConfig(&s.cfg.Settings)), listLog: newListLog()}
-	s.clock.add(0, s.sweep)
+	s.pool = pool.New[*attempt](cfg.Pool)
+	s.list = listState{Schedule: listcalls.New(scheduleConfig(&s.cfg.Settings)), listLog: newListLog()}
+	s.timers.add(0, s.sweep)
 	if cfg.ConfirmTimeout > 0 {
-		s.clock.add(cfg.ConfirmTimeout, s.unconfirmed)
+		s.timers.add(cfg.ConfirmTimeout, s.confirmTimedOut)
 	}
-	if s.pushed() {
-		s.clock.add(0, s.watch)
+	if s.listPushed() {
+		s.timers.add(0, s.watch)
 	}
 	if cfg.OverlapUntil > 0 {
-		s.clock.add(0, s.share)
-		s.clock.add(cfg.OverlapUntil, s.share)
+		s.timers.add(0, s.limitServerConns)
+		s.timers.add(cfg.OverlapUntil, s.limitServerConns)
 	}
 	if cfg.Maintenance {
-		s.work = newWork()
+		s.maintenance = newMaintenance()
 	}
-	s.counts.wanted = cfg.PublishMetrics
-	s.countClasses(cfg.Settings)
+	s.counters.enabled = cfg.PublishMetrics
+	s.addClassCounts(cfg.Settings)
 	if cfg.PublishMetrics {
-		s.clock.add(0, s.publish)
+		s.timers.add(0, s.publish)
 	}
 	return s, nil
 }
 
-// Step takes one event at the given time. The slice is used again by the next call.
+// Step handles one event at the given time. The returned slice is reused by the next call.
 func (s *State) Step(now time.Duration, ev Event) []Effect {
 	s.now = max(s.now, now)
-	s.effects, s.allTold = s.effects[:0], false
-	if s.work != nil {
-		s.lookWork()
+	s.effects, s.acceptQueueDrained = s.effects[:0], false
+	if s.maintenance != nil {
+		s.checkLease()
 	}
-	s.renew()
-	s.take(ev)
-	s.renew()
-	s.settle()
-	for do := s.clock.next(s.now); do != nil; do = s.clock.next(s.now) {
-		do()
-		s.renew()
-		s.settle()
+	s.updateListLease()
+	s.handle(ev)
+	s.updateListLease()
+	s.runDecider()
+	for run := s.timers.next(s.now); run != nil; run = s.timers.next(s.now) {
+		run()
+		s.updateListLease()
+		s.runDecider()
 	}
-	if s.drained && !s.answering() {
-		s.finished()
+	if s.drained && !s.hasOpenClients() {
+		s.finishOrDrain()
 	}
-	if at := s.clock.first(); at != s.armed { // the sweep is always due some time
-		s.armed = at
-		s.do(Effect{Do: ArmTimer, At: at})
+	if at := s.timers.first(); at != s.armedAt { // never empty: a sweep is always scheduled
+		s.armedAt = at
+		s.emit(Effect{Do: ArmTimer, At: at})
 	}
 	return s.effects
 }
 
-func (s *State) do(e Effect) { s.effects = append(s.effects, e) }
+func (s *State) emit(effect Effect) { s.effects = append(s.effects, effect) }
 
-// tell queues an event for the Balancer.
-func (s *State) tell(ev lg.Event) { s.todo = append(s.todo, ev) }
+// notify queues an event for the decider.
+func (s *State) notify(ev lg.Event) { s.pendingEvents = append(s.pendingEvents, ev) }
 
-// settle hands the Balancer what is queued and does what it asks for, which may queue more.
-func (s *State) settle() {
-	for len(s.todo) > 0 {
-		ev := s.todo[0]
-		s.todo = s.todo[1:]
-		for _, a := range s.bal.Handle(s.now, ev) {
-			s.act(a)
+// runDecider passes the queued events to the decider and executes its actions, which may queue more.
+func (s *State) runDecider() {
+	for len(s.pendingEvents) > 0 {
+		ev := s.pendingEvents[0]
+		s.pendingEvents = s.pendingEvents[1:]
+		for _, action := range s.decider.Handle(s.now, ev) {
+			s.execute(action)
 		}
 	}
-	s.todo = s.todo[:0]
+	s.pendingEvents = s.pendingEvents[:0]
 }
 
-func (s *State) act(a lg.Action) {
-	switch a.Do {
+// execute carries out an action of the decider.
+func (s *State) execute(action lg.Action) {
+	switch action.Do {
 	case lg.Send:
-		s.send(a)
+		s.startAttempt(action)
 	case lg.Refuse:
-		if r := s.requests[a.Request]; r != nil {
-			s.finish(r, Effect{Verdict: Rejected, RetryAfter: a.For})
+		if req := s.requests[action.Request]; req != nil {
+			s.finish(req, Effect{Verdict: Rejected, RetryAfter: action.For})
 		}
 	case lg.Fail:
-		if r := s.requests[a.Request]; r != nil {
-			s.finish(r, Effect{Verdict: Failed})
+		if req := s.requests[action.Request]; req != nil {
+			s.finish(req, Effect{Verdict: Failed})
 		}
 	case lg.SetTimer:
-		s.clock.add(s.now+a.For, func() { s.tell(lg.Timer{Token: a.Token}) })
-	case lg.Subscribe: // from here on calls follow each other by themselves
-		s.firstCall()
+		s.timers.add(s.now+action.For, func() { s.notify(lg.Timer{Token: action.Token}) })
+	case lg.Subscribe: // callEnded schedules all later calls
+		s.scheduleFirstCall()
 	case lg.Log:
-		s.do(Effect{Do: Log, Text: a.Text, Server: a.Server})
+		s.emit(Effect{Do: Log, Text: action.Text, Server: action.Server})
 	}
 }
 
-func (s *State) take(ev Event) {
+func (s *State) handle(ev Event) {
 	switch ev := ev.(type) {
 	case ClientOpened:
-		s.opened(ev.Conn)
+		s.clientOpened(ev.Conn)
 	case ClientReading:
-		if c := s.callers[ev.Conn]; c != nil && (c.phase == callerIdle || c.phase == callerReading) {
-			s.reading(c, ev)
+		if client := s.clients[ev.Conn]; client != nil &&
+			(client.phase == clientIdle || client.phase == clientReading) {
+			s.requestStarted(client, ev)
 		}
 	case RequestReceived:
-		s.asked(ev)
+		s.requestReceived(ev)
 	case RequestBodyComplete:
-		s.wholly(ev)
+		s.bodyComplete(ev)
 	case RequestBodyFailed:
-		s.spoilt(ev)
+		s.bodyFailed(ev)
 	case ResponseStarted:
-		s.begins(ev.Conn)
+		s.responseStarted(ev.Conn)
 	case ResponseStreaming:
-		s.streams(ev)
+		s.responseStreaming(ev)
 	case RequestInvalid:
-		s.reply(ev.Conn, Effect{Verdict: Invalid, Payload: ev.Payload, Last: ev.Last})
+		s.answerClient(ev.Conn, Effect{Verdict: Invalid, Payload: ev.Payload, Last: ev.Last})
 	case ClientFlooding:
-		if c := s.callers[ev.Conn]; c != nil {
-			c.last = true
+		if client := s.clients[ev.Conn]; client != nil {
+			client.closeAfterAnswer = true
 		}
 	case HealthChecked:
 		verdict := NotReady
 		if s.ready() {
 			verdict = ReadyNow
 		}
-		s.reply(ev.Conn, Effect{Verdict: verdict, Last: ev.Last})
+		s.answerClient(ev.Conn, Effect{Verdict: verdict, Last: ev.Last})
 	case ResponseWritten:
-		s.callerWritten(ev)
+		s.responseWritten(ev)
 	case ClientClosed:
-		s.callerClosed(ev.Conn)
+		s.clientClosed(ev.Conn)
 	case ServerDialed:
-		s.dialed(ev)
+		s.serverDialed(ev)
 	case RequestWritten:
-		s.hopWritten(ev)
+		s.requestWritten(ev)
 	case ServerConnUnusable:
-		s.unfit(ev.Conn)
+		s.connUnusable(ev.Conn)
 	case RequestUnsent:
-		s.unsent(ev.Conn)
+		s.requestUnsent(ev.Conn)
 	case UnexpectedServerData:
-		if l := s.legs[ev.Conn]; l != nil && l.Idle() {
-			s.drop(l)
-		} else if l != nil {
-			l.keep = false
+		if conn := s.serverConns[ev.Conn]; conn != nil && conn.Idle() {
+			s.closeConn(conn)
+		} else if conn != nil {
+			conn.reusable = false
 		}
 	case ServerAnswered:
-		s.answered(ev)
+		s.serverAnswered(ev)
 	case ServerClosed:
-		s.hopClosed(ev.Conn)
+		s.serverClosed(ev.Conn)
 	case ListReceived:
-		s.changed()
+		s.metricsChanged()
 		if !ev.Late {
 			s.list.Know(!ev.NextFull)
 		}
-		s.told(ev)
+		s.listReceived(ev)
 	case ListConnected:
 		s.list.Reached()
 	case FencingUpdated:
-		s.settled(ev)
+		s.fencingUpdated(ev)
 	case ClientIdleConfirmed:
-		s.quiet(ev.Conn)
+		s.idleConfirmed(ev.Conn)
 	case AcceptQueueDrained:
-		s.telling, s.allTold = false, true
+		s.drainingAcceptQueue, s.acceptQueueDrained = false, true
 	case Reloaded:
-		s.counts.loads++
-		s.changed()
-		s.reloaded(ev)
+		s.counters.configLoads++
+		s.metricsChanged()
+		s.configReloaded(ev)
 	case LearnedReceived:
-		if m, ok := s.bal.(interface {
-			Import(now, ago time.Duration, l lg.Learned)
+		if importer, ok := s.decider.(interface {
+			Import(now, age time.Duration, learned lg.Learned)
 		}); ok {
-			m.Import(s.now, ev.Age, ev.Learned)
+			importer.Import(s.now, ev.Age, ev.Learned)
 		}
 	case ReloadFailed:
-		s.counts.loadFails++
-		s.changed()
+		s.counters.configLoadErrors++
+		s.metricsChanged()
 	case Stopping:
 		if !s.stopping {
 			s.stopping = true
-			s.share()
-			s.readiness()
-			s.clock.add(s.now+drainFor, s.drain)
+			s.limitServerConns()
+			s.publishReadiness()
+			s.timers.add(s.now+drainDelay, s.drain)
 		}
 	}
 }
 
-// ready tells whether there is a next hop that takes requests.
+// ready reports whether the proxy accepts requests: some server does, and the server list may be used.
 func (s *State) ready() bool {
-	return !s.stopping && !s.outgoing() && (s.list.confirmed || s.now >= s.cfg.ConfirmTimeout) &&
-		s.pool.Ready() && (s.list.used || s.pushed())
+	return !s.stopping && !s.leaving() && (s.list.confirmed || s.now >= s.cfg.ConfirmTimeout) &&
+		s.pool.Ready() && (s.list.everUsable || s.listPushed())
 }
 
-// Ready tells whether this process can serve.
+// Ready reports whether this process can serve requests.
 func (s *State) Ready() bool { return s.ready() }
 
-// Learned is what another process of this proxy should know, if the decider tells; it is gone when that is
-// too old.
-func (s *State) Learned() (l lg.Learned) {
-	if m, ok := s.bal.(interface {
+// Learned returns what another process of this proxy should know, if the decider exports it. It expires
+// there when it is too old.
+func (s *State) Learned() (learned lg.Learned) {
+	if exporter, ok := s.decider.(interface {
 		Export(time.Duration) lg.Learned
 	}); ok {
-		l = m.Export(s.now)
+		learned = exporter.Export(s.now)
 	}
-	return l
+	return learned
 }
 
-// share gives the hop legs' descriptors their bound: half while another process of this proxy holds its
-// own.
-func (s *State) share() {
-	most := s.cfg.MaxServerConns
+// limitServerConns sets the limit of server connections: half of it while another process of this proxy
+// holds its own.
+func (s *State) limitServerConns() {
+	limit := s.cfg.MaxServerConns
 	if s.cfg.OverlapUntil > 0 && (s.now < s.cfg.OverlapUntil || s.stopping) {
-		most = max(1, most/2)
+		limit = max(1, limit/2)
 	}
-	s.pool.Limit(most)
-	s.pooled()
+	s.pool.Limit(limit)
+	s.runPoolActions()
 }
 
-// retuner is a decider that takes new settings while it runs.
+// retuner is a decider that accepts new settings at run time.
 type retuner interface {
-	Retune(now time.Duration, set lg.Settings) error
+	Retune(now time.Duration, settings lg.Settings) error
 }
 
-// Retunes tells whether new settings can be taken while the proxy runs.
+// SupportsRetune reports whether new settings can be applied at run time.
 func (s *State) SupportsRetune() bool {
-	_, ok := s.bal.(retuner)
+	_, ok := s.decider.(retuner)
 	return ok
 }
 
-// reloaded takes in a new configuration. Where discovery has moved, what it was asked at the
-// old address is given up at once: there the answer may never come.
-func (s *State) reloaded(ev Reloaded) {
+// configReloaded applies a new configuration. If the address of discovery has changed, the pending call
+// to the old address is given up at once, because it may never be answered.
+func (s *State) configReloaded(ev Reloaded) {
 	s.cfg.MaxClients, s.cfg.MaxServerConns = ev.MaxClients, ev.MaxServerConns
-	if m, ok := s.bal.(retuner); ok && ev.Settings != nil {
-		if err := m.Retune(s.now, *ev.Settings); err != nil {
-			s.do(Effect{Do: Log, Text: "the settings stay as they were: " + err.Error()}) // checked when it was read
+	if decider, ok := s.decider.(retuner); ok && ev.Settings != nil {
+		if err := decider.Retune(s.now, *ev.Settings); err != nil {
+			// They were validated when they were read.
+			s.emit(Effect{Do: Log, Text: "the settings are unchanged: " + err.Error()})
 		} else {
 			s.cfg.Settings = *ev.Settings
-			s.list.Configure(listConfig(&s.cfg.Settings))
-			s.countClasses(s.cfg.Settings)
+			s.list.Configure(scheduleConfig(&s.cfg.Settings))
+			s.addClassCounts(s.cfg.Settings)
 		}
 	}
-	s.share()
+	s.limitServerConns()
 	if ev.Discovery != s.cfg.Discovery {
 		s.cfg.Discovery = ev.Discovery
 		s.list.Move(s.now)
@@ -422,28 +430,29 @@
 	}
 }
 
-// sweep closes what has stood too long.
+// sweep closes idle connections and requests whose timeouts have passed.
 func (s *State) sweep() {
-	s.clock.add(s.now+sweepEvery, s.sweep)
+	s.timers.add(s.now+sweepInterval, s.sweep)
 	s.pool.Sweep(s.now)
-	s.pooled()
-	for _, c := range inOrder(s.callers) {
-		switch stood := s.now - c.since; c.phase {
-		case callerReading:
-			if c.by > 0 && s.now >= c.by || c.by == 0 && stood >= readWithin {
-				s.reply(c.id, Effect{Verdict: TooSlow, Last: true})
+	s.runPoolActions()
+	for _, client := range sortedValues(s.clients) {
+		switch elapsed := s.now - client.since; client.phase {
+		case clientReading:
+			if client.readDeadline > 0 && s.now >= client.readDeadline ||
+				client.readDeadline == 0 && elapsed >= requestReadTimeout {
+				s.answerClient(client.id, Effect{Verdict: TooSlow, Last: true})
 			}
-		case callerIdle:
-			if !c.asked && stood >= askWithin || stood >= idleWithin {
-				s.ease(c)
+		case clientIdle:
+			if !client.hasRequested && elapsed >= firstRequestTimeout || elapsed >= clientIdleTimeout {
+				s.checkIdle(client)
 			}
 		}
 	}
 }
 
-// inOrder lists what a map holds by its keys. Guards against effects in an order that differs from
-// one run to the next: the same events must give the same effects.
-func inOrder[K cmp.Ordered, V any](m map[K]V) []V {
+// sortedValues returns the values of a map in the order of its keys. Otherwise the order of effects
+// would differ from run to run, and equal events must give equal effects.
+func sortedValues[K cmp.Ordered, V any](m map[K]V) []V {
 	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -456,57 +465,58 @@
 	return values
 }
 
-// drain ends the stay of idle callers, those that still come included.
+// drain closes idle clients, and repeats this for those that still connect.
 func (s *State) drain() {
 	s.drained = true
-	s.clock.add(s.now+drainEvery, s.drain)
-	s.easeIdle()
+	s.timers.add(s.now+drainInterval, s.drain)
+	s.closeIdleClients()
 }
 
-// easeIdle lets go of idle callers, but of those who have just come and mean to ask.
-func (s *State) easeIdle() {
-	for _, c := range inOrder(s.callers) {
-		if c.phase == callerIdle && (c.asked || s.now-c.since >= soonAsked) {
-			s.ease(c)
+// closeIdleClients closes idle clients, except those that have just connected and are about to send a
+// request.
+func (s *State) closeIdleClients() {
+	for _, client := range sortedValues(s.clients) {
+		if client.phase == clientIdle && (client.hasRequested || s.now-client.since >= newClientGrace) {
+			s.checkIdle(client)
 		}
 	}
 }
 
-// ease lets an idle leg go if nothing has come on it: the sockets look, and CallerQuiet follows. Guards
-// against closing a leg under a request that is on its way to this goroutine, which would be lost: it gets
-// its answer. An idle leg is ended in no other way.
-func (s *State) ease(c *caller) {
-	c.eased = true
-	s.do(Effect{Do: CheckClientIdle, Conn: c.id})
+// checkIdle closes an idle connection if no input is pending on it: the transport checks, and
+// ClientIdleConfirmed follows. Otherwise a request that is on its way to the reducer would be lost;
+// this way it is answered. An idle connection is closed in no other way.
+func (s *State) checkIdle(client *clientConn) {
+	client.idleCheck = true
+	s.emit(Effect{Do: CheckClientIdle, Conn: client.id})
 }
 
-// quiet ends sending on a leg that is to be let go.
-func (s *State) quiet(id ConnID) {
-	if c := s.callers[id]; c != nil && c.phase == callerIdle && c.eased {
+// idleConfirmed shuts down a connection that is idle and to be closed.
+func (s *State) idleConfirmed(id ConnID) {
+	if client := s.clients[id]; client != nil && client.phase == clientIdle && client.idleCheck {
 		cause := ClosedIdle
-		if c.wanted {
+		if client.evicted {
 			cause = ClosedForCapacity
 		}
-		s.part(c, cause)
+		s.closeWrite(client, cause)
 	}
 }
 
-// finished ends the program once nobody is owed anything any more. Guards against leaving behind a caller
-// whose connection is open by now, and not yet told here.
-func (s *State) finished() {
+// finishOrDrain ends the process once nothing is due to any client. It drains the accept queue first:
+// otherwise a client that has connected, but is not reported yet, would get no answer.
+func (s *State) finishOrDrain() {
 	switch {
-	case s.allTold:
-		s.do(Effect{Do: Finish})
-	case !s.telling:
-		s.telling = true
-		s.do(Effect{Do: DrainAcceptQueue})
+	case s.acceptQueueDrained:
+		s.emit(Effect{Do: Finish})
+	case !s.drainingAcceptQueue:
+		s.drainingAcceptQueue = true
+		s.emit(Effect{Do: DrainAcceptQueue})
 	}
 }
 
-// answering tells whether a caller leg has more to get.
-func (s *State) answering() bool {
-	for _, c := range s.callers {
-		if c.phase != callerParting {
+// hasOpenClients reports whether any client connection may still be sent something.
+func (s *State) hasOpenClients() bool {
+	for _, client := range s.clients {
+		if client.phase != clientClosing {
 			return true
 		}
 	}
--- a/internal/reducer/streams.go
+++ b/internal/reducer/streams.go
@@ -2,100 +2,100 @@
 
 import lg "lilacglade"
 
-// wholly takes in the end of a request that streams: its time counts from here.
-func (s *State) wholly(ev RequestBodyComplete) {
-	c := s.callers[ev.Conn]
-	if c == nil || c.req == nil || !c.req.stream || c.req.whole > 0 {
+// bodyComplete handles the end of a streamed request: its timeout counts from here.
+func (s *State) bodyComplete(ev RequestBodyComplete) {
+	client := s.clients[ev.Conn]
+	if client == nil || client.req == nil || !client.req.stream || client.req.completeAt > 0 {
 		return
 	}
-	r := c.req
-	r.whole = max(1, s.now)
-	r.deadline = min(r.deadline, ev.ReadAt+r.may-margin)
-	if r.branch != nil {
-		r.branch.until = r.deadline
+	req := client.req
+	req.completeAt = max(1, s.now)
+	req.deadline = min(req.deadline, ev.ReadAt+req.timeout-answerMargin)
+	if req.attempt != nil {
+		req.attempt.deadline = req.deadline
 	}
-	s.clock.add(r.deadline, func() { s.overdue(r) })
+	s.timers.add(req.deadline, func() { s.expireRequest(req) })
 }
 
-// spoilt ends a request whose rest can't be had.
-func (s *State) spoilt(ev RequestBodyFailed) {
-	c := s.callers[ev.Conn]
-	if c == nil || c.req == nil || !c.req.stream || c.req.whole > 0 {
+// bodyFailed ends a request whose rest can't be received.
+func (s *State) bodyFailed(ev RequestBodyFailed) {
+	client := s.clients[ev.Conn]
+	if client == nil || client.req == nil || !client.req.stream || client.req.completeAt > 0 {
 		return
 	}
-	r, e := c.req, Effect{Verdict: Invalid, Payload: ev.Payload, Last: true}
+	req, effect := client.req, Effect{Verdict: Invalid, Payload: ev.Payload, Last: true}
 	if ev.TimedOut {
-		e.Verdict = TooSlow
+		effect.Verdict = TooSlow
 	}
-	s.finish(r, e)
-	s.cancel(r)
-	s.tell(lg.Departed{Request: r.id})
+	s.finish(req, effect)
+	s.cancelIncomplete(req)
+	s.notify(lg.Departed{Request: req.id})
 }
 
-// cancel ends the branch of a request that streams and can't become whole any more: its next hop never
-// gets all of it, which is no fault of its own.
-func (s *State) cancel(r *request) {
-	if b := r.branch; r.stream && r.whole == 0 && b != nil && b.leg != nil {
-		l := b.leg
-		s.end(b, lg.Canceled, lg.LoadReport{})
-		s.drop(l)
+// cancelIncomplete ends the attempt of a streamed request that can't be completed any more. Its server
+// never receives all of it, which is not the server's fault.
+func (s *State) cancelIncomplete(req *request) {
+	if attempt := req.attempt; req.stream && req.completeAt == 0 && attempt != nil && attempt.conn != nil {
+		conn := attempt.conn
+		s.endAttempt(attempt, lg.Canceled, lg.LoadReport{})
+		s.closeConn(conn)
 	}
 }
 
-// begins holds back an answer of unknown length for a moment: most are whole by then, and can be had
-// elsewhere if they break off. Guards against holding back the first bytes of a long one that comes
-// slowly: they count.
-func (s *State) begins(id ConnID) {
-	l := s.legs[id]
-	if l == nil || l.branch == nil {
+// responseStarted holds back an answer of unknown length for streamDelay: most are complete by then,
+// and can be retried elsewhere if they break off. After that it is passed on, since the first bytes of
+// a long, slow answer must not be held back.
+func (s *State) responseStarted(id ConnID) {
+	conn := s.serverConns[id]
+	if conn == nil || conn.attempt == nil {
 		return
 	}
-	b := l.branch
-	s.clock.add(s.now+openFor, func() {
-		if s.legs[id] == l && l.branch == b {
-			s.do(Effect{Do: StreamResponse, Conn: id})
+	attempt := conn.attempt
+	s.timers.add(s.now+streamDelay, func() {
+		if s.serverConns[id] == conn && conn.attempt == attempt {
+			s.emit(Effect{Do: StreamResponse, Conn: id})
 		}
 	})
 }
 
-// streams takes in an answer that has begun and is passed on as it comes: for the module the attempt
-// has ended well, and the request has its final answer.
-func (s *State) streams(ev ResponseStreaming) {
-	l := s.legs[ev.Conn]
-	if l == nil || l.phase != hopWaiting && l.phase != hopEarly && l.phase != hopWriting {
+// responseStreaming handles an answer that has begun and is passed on while it arrives: for the decider
+// the attempt has succeeded, and the request has its final answer.
+func (s *State) responseStreaming(ev ResponseStreaming) {
+	conn := s.serverConns[ev.Conn]
+	if conn == nil || conn.phase != connWaiting && conn.phase != connAnsweredEarly && conn.phase != connWriting {
 		return
 	}
-	b := l.branch
-	if b == nil || b.req.done || l.phase == hopEarly {
-		s.drop(l)
+	attempt := conn.attempt
+	if attempt == nil || attempt.req.done || conn.phase == connAnsweredEarly {
+		s.closeConn(conn)
 		return
 	}
-	r, c := b.req, b.req.caller
-	l.keep = l.phase == hopWaiting // else once it is known that the request was written
-	l.phase, r.done, r.flowing, c.feed = hopStreaming, true, true, l
-	s.end(b, lg.OK, ev.Load)
+	req, client := attempt.req, attempt.req.client
+	conn.reusable = conn.phase == connWaiting // otherwise set once all of the request was written
+	conn.phase, req.done, req.streaming, client.source = connStreaming, true, true, conn
+	s.endAttempt(attempt, lg.OK, ev.Load)
 	if s.cfg.Trace != nil {
-		s.trace("F %d streams", r.id)
+		s.trace("F %d streams", req.id)
 	}
-	s.phase(c, callerAnswering)
-	c.last = c.last || s.stopping
-	s.do(Effect{Do: AnswerClient, Conn: c.id, Verdict: Served, Payload: ev.Payload, Last: c.last,
-		At: s.now + takeWithin})
+	s.setPhase(client, clientAnswering)
+	client.closeAfterAnswer = client.closeAfterAnswer || s.stopping
+	s.emit(Effect{Do: AnswerClient, Conn: client.id, Verdict: Served, Payload: ev.Payload,
+		Last: client.closeAfterAnswer, At: s.now + responseWriteTimeout})
 }
 
-// streamed takes in the end of an answer that was passed on, or that its caller has left.
-func (s *State) streamed(c *caller, ev ResponseWritten) {
-	r, l := c.req, c.feed
-	c.req, c.feed, r.flowing = nil, nil, false
+// streamEnded handles the end of an answer that was passed on, or that its client has left.
+func (s *State) streamEnded(client *clientConn, ev ResponseWritten) {
+	req, conn := client.req, client.source
+	client.req, client.source, req.streaming = nil, nil, false
 	if ev.OK {
-		s.ended(r.count, Served)
+		s.countEnded(req.counts, Served)
 	} else {
-		s.ended(r.count, Failed)
+		s.countEnded(req.counts, Failed)
 	}
-	s.remove(r)
-	if ev.OK && ev.Reusable && l.keep {
-		s.release(l)
+	s.removeRequest(req)
+	if ev.OK && ev.Reusable && conn.reusable {
+		s.releaseConn(conn)
 	} else {
-		s.drop(l)
+		s.closeConn(conn)
 	}
 }
--- a/internal/reducer/streams_test.go
+++ b/internal/reducer/streams_test.go
@@ -23,7 +23,7 @@
 	}
 	m.finishes(c)
 	m.step(RequestWritten{Conn: 1, OK: true, BodyConsumed: true})
-	m.pass(800*ms - margin - ms)
+	m.pass(800*ms - answerMargin - ms)
 	if c.answers > 0 {
 		t.Fatal("given up too early")
 	}
--- a/internal/reducer/trace.go
+++ b/internal/reducer/trace.go
@@ -7,49 +7,51 @@
 	"lilacglade/internal/pool"
 )
 
-// Tracer takes one line for each step of a request, of a hop leg and of the server list. Lines begin with
-// a letter: A request taken, S branch to a next hop, G leg given (with its rest), E branch ended,
-// F final answer, O leg opened, D how that went, C leg closed, W discovery asked, L what it told, I a
-// line of that, X a client's connection ended. Whoever counts what a whole fleet
-// does to one next hop reads these; nil costs one check.
+// Tracer is called with one line for each step of a request, a server connection and the server list.
+// Lines begin with a letter: A request received, S attempt started, G connection given to an attempt
+// (with the time it was idle), E attempt ended, F final answer, O connection opening, D result of the
+// dial, C connection closed, W discovery called, L list received, I a server in it, X a client
+// connection ended. They show the load that a whole fleet puts on one server. A nil Tracer costs one
+// comparison for each step.
 type Tracer func(line string)
 
-var verdicts = [...]string{Served: "served", Rejected: "busy", Failed: "broken",
+var verdictNames = [...]string{Served: "served", Rejected: "busy", Failed: "broken",
 	DeadlineExceeded: "late", Invalid: "faulty", DuplicateName: "taken", ReadyNow: "ready", NotReady: "notready",
 	TooSlow: "slow"}
 
-var lists = [...]string{lg.FullList: "full", lg.Changes: "changes", lg.CachedList: "cached",
+var listKindNames = [...]string{lg.FullList: "full", lg.Changes: "changes", lg.CachedList: "cached",
 	lg.ListFailed: "failed"}
 
-// trace writes a line. Callers check that any are wanted: guards against arguments that are moved to the
-// heap, several for each request, to be thrown away.
+// trace writes a line. The caller checks that tracing is on: otherwise the arguments would be moved to
+// the heap, several for each request, only to be discarded.
 func (s *State) trace(format string, args ...any) { s.cfg.Trace(fmt.Sprintf(format, args...)) }
 
-// traceList writes what the server list told.
+// traceList traces an update of the server list.
 func (s *State) traceList(list lg.List) {
-	s.trace("L %s %d at zone %d", lists[list.Kind], len(list.Servers), s.cfg.Settings.Zone)
-	for _, l := range list.Servers {
-		s.trace("I %x zone %d state %d started %d", uint64(l.ID), l.Zone, l.State, l.Started.Milliseconds())
+	s.trace("L %s %d at zone %d", listKindNames[list.Kind], len(list.Servers), s.cfg.Settings.Zone)
+	for _, server := range list.Servers {
+		s.trace("I %x zone %d state %d started %d", uint64(server.ID), server.Zone, server.State,
+			server.Started.Milliseconds())
 	}
 }
 
-// traceAct writes what the pool asked for.
-func (s *State) traceAct(a pool.Act[*branch]) {
-	id, hop := pool.LegID(0), lg.ServerID(0)
-	if a.Leg != nil {
-		id, hop = a.Leg.ID, a.Leg.Hop.ID
+// traceAct traces an action of the pool.
+func (s *State) traceAct(act pool.Act[*attempt]) {
+	id, server := pool.LegID(0), lg.ServerID(0)
+	if act.Leg != nil {
+		id, server = act.Leg.ID, act.Leg.Hop.ID
 	}
-	of := "-"
-	if a.Ticket != nil {
-		of = fmt.Sprint(a.Ticket.req.id)
-		hop = a.Ticket.hop.ID
+	request := "-"
+	if act.Ticket != nil {
+		request = fmt.Sprint(act.Ticket.req.id)
+		server = act.Ticket.server.ID
 	}
-	switch a.Do {
+	switch act.Do {
 	case pool.Open:
-		s.trace("O %d %x for %s", id, uint64(hop), of)
+		s.trace("O %d %x for %s", id, uint64(server), request)
 	case pool.Close:
-		s.trace("C %d %x", id, uint64(hop))
+		s.trace("C %d %x", id, uint64(server))
 	case pool.Give:
-		s.trace("G %d %x to %s rested %d", id, uint64(hop), of, a.Leg.Rested.Milliseconds())
+		s.trace("G %d %x to %s rested %d", id, uint64(server), request, act.Leg.Rested.Milliseconds())
 	}
 }
