--- a/internal/reducer/clients_test.go
+++ b/internal/reducer/clients_test.go
@@ -7,135 +7,137 @@
 	lg "lilacglade"
 )
 
-// TestFullHouseIsRefused guards against a leg beyond the cap losing what it asks.
-func TestFullHouseIsRefused(t *testing.T) {
+// TestRequestOverClientLimit checks that a request on a connection over the limit is answered, and not
+// lost.
+func TestRequestOverClientLimit(t *testing.T) {
 	m := newModel(t)
-	for leg := ConnID(1); int(leg) <= m.s.cfg.MaxClients; leg++ {
-		m.callers[leg] = nil
-		m.step(ClientOpened{leg})
-		m.ask(leg, 0)
+	for conn := ConnID(1); int(conn) <= m.s.cfg.MaxClients; conn++ {
+		m.clients[conn] = nil
+		m.step(ClientOpened{conn})
+		m.sendRequest(conn, 0)
 	}
-	m.callers[99] = nil
+	m.clients[99] = nil
 	m.step(ClientOpened{99})
-	if v := m.verdict(RequestReceived{Conn: 99, Deadline: m.now + time.Second}); v != Rejected {
-		t.Errorf("verdict %d", v)
+	if verdict := m.verdict(RequestReceived{Conn: 99, Deadline: m.now + time.Second}); verdict != Rejected {
+		t.Errorf("verdict %d", verdict)
 	}
 }
 
-// TestBadCallersAreEnded guards against callers who hold a leg by saying nothing, or half of
-// something: each is closed or told so within three seconds of connecting. One that has asked
-// keeps its leg for longer.
-func TestBadCallersAreEnded(t *testing.T) {
-	m, c := started(t)
+// TestStalledClientsAreClosed covers clients that hold a connection without sending anything, or with
+// part of a request: each is closed or answered within three seconds of connecting. A client that has
+// sent a request keeps its connection for longer.
+func TestStalledClientsAreClosed(t *testing.T) {
+	m, req := startedModel(t)
 	m.step(RequestWritten{Conn: 1, OK: true})
-	m.end(1, lg.OK, true)
-	delete(m.writing, c.leg)
-	m.callers[c.leg] = nil
-	m.step(ResponseWritten{Conn: c.leg, OK: true})
-	m.open(2)
-	m.open(3)
-	m.pass(firstRequestTimeout - ms) // says nothing for as long as it can, then half a request
+	m.endExchange(1, lg.OK, true)
+	delete(m.writing, req.conn)
+	m.clients[req.conn] = nil
+	m.step(ResponseWritten{Conn: req.conn, OK: true})
+	m.openClient(2)
+	m.openClient(3)
+	m.advance(firstRequestTimeout - ms) // silent for as long as possible, then part of a request
 	m.step(ClientReading{Conn: 3})
-	m.pass(3*time.Second - firstRequestTimeout)
-	if m.kept(2) || !m.writing[3] {
-		t.Error("a silent caller kept, or a slow one not told")
+	m.advance(3*time.Second - firstRequestTimeout)
+	if m.isOpen(2) || !m.writing[3] {
+		t.Error("a silent client kept, or a slow one not answered")
 	}
-	if !m.kept(c.leg) {
-		t.Error("a caller that had asked was closed")
+	if !m.isOpen(req.conn) {
+		t.Error("a client with an earlier request was closed")
 	}
-	if m.pass(clientIdleTimeout); len(m.callers) != 1 {
-		t.Error("an idle leg kept for good")
+	if m.advance(clientIdleTimeout); len(m.clients) != 1 {
+		t.Error("an idle connection was never closed")
 	}
 }
 
-// TestRoomIsMade guards against legs that nobody uses crowding out the others: silent ones go
-// first, then those idle longest, from half the cap on; one that has just come in stays as long as there
-// is room, since its caller has most likely asked by now.
-func TestRoomIsMade(t *testing.T) {
-	m, c := started(t)
+// TestEviction checks that unused connections don't block new ones: from half of the limit on, silent
+// ones are closed first, then those idle longest. One that has just opened stays as long as the limit
+// is not reached, since its client has most likely sent a request by now.
+func TestEviction(t *testing.T) {
+	m, req := startedModel(t)
 	m.step(RequestWritten{Conn: 1, OK: true})
-	m.end(1, lg.OK, true)
-	delete(m.writing, c.leg)
-	m.callers[c.leg] = nil
-	m.step(ResponseWritten{Conn: c.leg, OK: true})
+	m.endExchange(1, lg.OK, true)
+	delete(m.writing, req.conn)
+	m.clients[req.conn] = nil
+	m.step(ResponseWritten{Conn: req.conn, OK: true})
 	half := ConnID(m.s.cfg.MaxClients / 2)
-	for leg := ConnID(2); leg <= half; leg++ {
-		m.open(leg)
+	for conn := ConnID(2); conn <= half; conn++ {
+		m.openClient(conn)
 		m.now += ms
 	}
-	m.pass(newClientGrace)
-	m.open(half + 1)
-	if m.kept(2) || !m.kept(c.leg) || m.s.openClients() != int(half) {
-		t.Errorf("kept a silent leg %t among %d", m.kept(2), m.s.openClients())
+	m.advance(newClientGrace)
+	m.openClient(half + 1)
+	if m.isOpen(2) || !m.isOpen(req.conn) || m.s.openClients() != int(half) {
+		t.Errorf("kept a silent connection %t among %d", m.isOpen(2), m.s.openClients())
 	}
-	for leg := half + 2; m.kept(c.leg) && leg < 40; leg++ {
-		m.open(leg)
+	for conn := half + 2; m.isOpen(req.conn) && conn < 40; conn++ {
+		m.openClient(conn)
 	}
-	if !m.kept(half+1) || m.kept(c.leg) {
-		t.Error("a leg that has just come in made room for others")
+	if !m.isOpen(half+1) || m.isOpen(req.conn) {
+		t.Error("a new connection was evicted")
 	}
 	m = newModel(t)
-	most := ConnID(m.s.cfg.MaxClients)
-	for leg := ConnID(1); leg <= most; leg++ {
-		m.open(leg)
+	limit := ConnID(m.s.cfg.MaxClients)
+	for conn := ConnID(1); conn <= limit; conn++ {
+		m.openClient(conn)
 	}
-	if m.s.openClients() != int(most) {
-		t.Errorf("%d legs held of %d that have just come in", m.s.openClients(), most)
+	if m.s.openClients() != int(limit) {
+		t.Errorf("%d connections open of %d new ones", m.s.openClients(), limit)
 	}
-	if m.open(most + 1); m.kept(1) || !m.kept(most+1) || m.s.openClients() != int(most) {
-		t.Errorf("%d legs held where there is no room", m.s.openClients())
+	if m.openClient(limit + 1); m.isOpen(1) || !m.isOpen(limit+1) || m.s.openClients() != int(limit) {
+		t.Errorf("%d connections open at the limit", m.s.openClients())
 	}
 }
 
-// TestNewCallerMayAsk guards against letting go of a caller who connected just before the others are let
-// go, or after, and is about to ask; and against waiting for good for one who never does.
-func TestNewCallerMayAsk(t *testing.T) {
-	for _, late := range []time.Duration{-ms, 0, ms} {
+// TestNewClientDuringDrain checks that a client that connects shortly before or after idle clients are
+// closed, and then sends a request, gets an answer; and that the proxy does not wait forever for one
+// that sends nothing.
+func TestNewClientDuringDrain(t *testing.T) {
+	for _, delay := range []time.Duration{-ms, 0, ms} {
 		m := newModel(t)
-		m.open(1)
-		m.pass(newClientGrace)
-		m.stopped = true
+		m.openClient(1)
+		m.advance(newClientGrace)
+		m.stopping = true
 		m.step(Stopping{})
-		m.pass(drainDelay + late)
-		m.open(2)
-		m.open(3)
-		m.pass(2 * drainInterval)
-		if m.kept(1) || !m.kept(2) {
-			t.Fatalf("%v: the old caller kept %t, the new one %t", late, m.kept(1), m.kept(2))
+		m.advance(drainDelay + delay)
+		m.openClient(2)
+		m.openClient(3)
+		m.advance(2 * drainInterval)
+		if m.isOpen(1) || !m.isOpen(2) {
+			t.Fatalf("%v: the old client kept %t, the new one %t", delay, m.isOpen(1), m.isOpen(2))
 		}
-		n := len(m.calls)
-		m.ask(2, 0)
-		c := m.calls[n]
-		if m.pass(newClientGrace); m.kept(3) {
-			t.Errorf("%v: a silent caller kept", late)
+		n := len(m.requests)
+		m.sendRequest(2, 0)
+		req := m.requests[n]
+		if m.advance(newClientGrace); m.isOpen(3) {
+			t.Errorf("%v: a silent client kept", delay)
 		}
-		if m.pass(time.Second); c.answers != 1 {
-			t.Errorf("%v: no answer", late)
+		if m.advance(time.Second); req.answers != 1 {
+			t.Errorf("%v: no answer", delay)
 		}
 	}
 }
 
-// TestNameInUse guards against a request in another's name: it must not reach a next hop while
-// the first may, whether or not that one's caller is still there.
-func TestNameInUse(t *testing.T) {
-	m, c := started(t)
-	again := RequestReceived{Conn: 2, Name: "1", Deadline: c.deadline}
-	m.open(2)
-	if v := m.verdict(again); v != DuplicateName {
-		t.Errorf("verdict %d", v)
-	}
-	m.forget(1)
+// TestDuplicateName checks that a request whose name is in use does not reach a server while the first
+// one may be there, whether or not the first one's client is still connected.
+func TestDuplicateName(t *testing.T) {
+	m, req := startedModel(t)
+	again := RequestReceived{Conn: 2, Name: "1", Deadline: req.deadline}
+	m.openClient(2)
+	if verdict := m.verdict(again); verdict != DuplicateName {
+		t.Errorf("verdict %d", verdict)
+	}
+	m.removeClient(1)
 	m.step(ClientClosed{1})
-	m.open(3)
+	m.openClient(3)
 	if again.Conn = 3; m.verdict(again) != DuplicateName {
-		t.Error("taken on, though the first may still be at a next hop")
+		t.Error("accepted, though the first may still be at a server")
 	}
-	m.pass(time.Second)
-	again.Conn, again.Deadline, again.Payload = 4, m.now+time.Second, &call{leg: 4}
-	m.open(4)
+	m.advance(time.Second)
+	again.Conn, again.Deadline, again.Payload = 4, m.now+time.Second, &modelRequest{conn: 4}
+	m.openClient(4)
 	for _, e := range m.s.Step(m.now, again) {
 		if e.Do == AnswerClient && e.Verdict == DuplicateName {
-			t.Error("the name is taken though the first one is over")
+			t.Error("the name is in use though the first request has ended")
 		}
 	}
 }
--- a/internal/reducer/fuzz_test.go
+++ b/internal/reducer/fuzz_test.go
@@ -9,10 +9,10 @@
 	lg "lilacglade"
 )
 
-func pick[V any](rng *rand.Rand, from map[ConnID]V, fits func(V) bool) ConnID {
+func pick[V any](rng *rand.Rand, values map[ConnID]V, match func(V) bool) ConnID {
 	var ids []ConnID
-	for id, v := range from {
-		if fits(v) {
+	for id, value := range values {
+		if match(value) {
 			ids = append(ids, id)
 		}
 	}
@@ -23,121 +23,130 @@
 	return ids[rng.IntN(len(ids))]
 }
 
-// random takes one step that sockets, callers or discovery could take now.
+// random takes one step that the transport, clients or discovery could take now.
 func (m *model) random(rng *rand.Rand) {
-	m.now += time.Duration(rng.IntN(4)) * ms // what happens crosses with timers that are due
+	m.now += time.Duration(rng.IntN(4)) * ms // events coincide with timers that are due
 	switch rng.IntN(15) {
 	case 0, 1, 2, 3:
-		leg := pick(rng, m.callers, func(c *call) bool { return c == nil })
-		if _, busy := m.writing[leg]; leg == 0 || busy || rng.IntN(3) == 0 {
-			m.next++
-			leg = m.next
-			m.callers[leg] = nil
-			m.step(ClientOpened{leg})
-		}
-		c, there := m.callers[leg]
-		there = there && c == nil // else it was let go in the moment in which it came
-		if there && rng.IntN(4) == 0 {
-			m.stream(leg, rng.IntN(2))
-		} else if there {
-			m.ask(leg, rng.IntN(2))
+		client := pick(rng, m.clients, func(req *modelRequest) bool { return req == nil })
+		if _, busy := m.writing[client]; client == 0 || busy || rng.IntN(3) == 0 {
+			m.lastClient++
+			client = m.lastClient
+			m.clients[client] = nil
+			m.step(ClientOpened{client})
+		}
+		req, open := m.clients[client]
+		open = open && req == nil // otherwise it was closed as soon as it opened
+		if open && rng.IntN(4) == 0 {
+			m.sendStream(client, rng.IntN(2))
+		} else if open {
+			m.sendRequest(client, rng.IntN(2))
 		}
 	case 4:
-		if leg := pick(rng, m.writing, func(bool) bool { return true }); leg != 0 {
-			ok, last := rng.IntN(8) > 0, m.writing[leg]
-			delete(m.writing, leg)
-			keep := m.flowed(leg, ok, rng.IntN(2) == 0)
+		if client := pick(rng, m.writing, func(bool) bool { return true }); client != 0 {
+			ok, last := rng.IntN(8) > 0, m.writing[client]
+			delete(m.writing, client)
+			reusable := m.endStream(client, ok, rng.IntN(2) == 0)
 			if ok && !last {
-				m.callers[leg] = nil
+				m.clients[client] = nil
 			}
-			m.step(ResponseWritten{Conn: leg, OK: ok, Reusable: keep})
+			m.step(ResponseWritten{Conn: client, OK: ok, Reusable: reusable})
 		}
 	case 5:
-		if leg := pick(rng, m.callers, func(*call) bool { return true }); leg != 0 && rng.IntN(3) == 0 {
-			m.forget(leg)
-			m.step(ClientClosed{leg})
+		if client := pick(rng, m.clients, func(*modelRequest) bool { return true }); client != 0 &&
+			rng.IntN(3) == 0 {
+			m.removeClient(client)
+			m.step(ClientClosed{client})
 		}
 	case 6, 7:
-		if id := pick(rng, m.hops, func(h *hopModel) bool { return !h.open }); id != 0 {
+		if id := pick(rng, m.serverConns, func(conn *modelServerConn) bool { return !conn.open }); id != 0 {
 			ok := rng.IntN(4) > 0
-			if m.hops[id].open = ok; !ok {
-				delete(m.hops, id)
+			if m.serverConns[id].open = ok; !ok {
+				delete(m.serverConns, id)
 			}
 			m.step(ServerDialed{Conn: id, OK: ok})
 		}
 	case 8:
-		if id := pick(rng, m.hops, func(h *hopModel) bool { return h.busy != nil && !h.written }); id != 0 {
-			h := m.hops[id]
+		if id := pick(rng, m.serverConns, func(conn *modelServerConn) bool {
+			return conn.req != nil && !conn.written
+		}); id != 0 {
+			conn := m.serverConns[id]
 			if rng.IntN(6) == 0 { // nothing could be written on it
-				h.busy.out, h.busy = false, nil
-				if rng.IntN(2) == 0 { // or was held up for too long
+				conn.req.inFlight, conn.req = false, nil
+				if rng.IntN(2) == 0 { // or too much time has passed
 					m.step(RequestUnsent{id})
 				} else {
 					m.step(ServerConnUnusable{id})
 				}
 				break
 			}
-			gone := h.busy.stream && rng.IntN(2) == 0
-			h.busy.gone = h.busy.gone || gone
-			if h.busy.stream && !h.busy.whole && rng.IntN(4) == 0 { // the rest of it is none
-				c := h.busy
-				m.step(RequestBodyFailed{Conn: c.leg, TimedOut: rng.IntN(2) == 0})
-				if m.hops[id] != nil || c.answers == 0 {
-					m.t.Fatal("a spoilt request kept")
+			consumed := conn.req.stream && rng.IntN(2) == 0
+			conn.req.bodyConsumed = conn.req.bodyConsumed || consumed
+			if conn.req.stream && !conn.req.complete && rng.IntN(4) == 0 { // the rest of it can't be read
+				req := conn.req
+				m.step(RequestBodyFailed{Conn: req.conn, TimedOut: rng.IntN(2) == 0})
+				if m.serverConns[id] != nil || req.answers == 0 {
+					m.t.Fatal("the attempt of a failed request was not cancelled")
 				}
 				break
 			}
-			if h.written = rng.IntN(6) > 0; !h.written { // broken before the last byte: it never ran
-				h.busy.out, h.busy = false, nil
+			if conn.written = rng.IntN(6) > 0; !conn.written { // broken before the last byte: it never ran
+				conn.req.inFlight, conn.req = false, nil
 				m.step(ServerClosed{id})
 			} else {
-				m.tries++
-				if h.busy.stream && !h.busy.whole {
-					m.finishes(h.busy)
+				m.requestsWritten++
+				if conn.req.stream && !conn.req.complete {
+					m.completeBody(conn.req)
 				}
 			}
-			m.step(RequestWritten{Conn: id, OK: h.written, BodyConsumed: gone})
+			m.step(RequestWritten{Conn: id, OK: conn.written, BodyConsumed: consumed})
 		}
 	case 9, 10:
-		if id := pick(rng, m.hops, func(h *hopModel) bool { return h.written && h.busy != nil }); id != 0 {
-			if c := m.hops[id].busy; rng.IntN(4) == 0 && c.answers == 0 && !c.left {
-				m.streams(id, c)
+		if id := pick(rng, m.serverConns, func(conn *modelServerConn) bool {
+			return conn.written && conn.req != nil
+		}); id != 0 {
+			if req := m.serverConns[id].req; rng.IntN(4) == 0 && req.answers == 0 && !req.left {
+				m.startStreaming(id, req)
 				break
 			}
-			m.end(id, []lg.Result{lg.OK, lg.OK, lg.Full, lg.ServerError}[rng.IntN(4)], rng.IntN(4) > 0)
+			m.endExchange(id, []lg.Result{lg.OK, lg.OK, lg.Full, lg.ServerError}[rng.IntN(4)], rng.IntN(4) > 0)
 		}
 	case 11:
-		quiet := func(h *hopModel) bool { return h.open && h.feeds == nil && (h.busy == nil || h.written) }
-		if id := pick(rng, m.hops, quiet); id != 0 {
-			if c := m.hops[id].busy; c != nil {
-				c.out, c.mayRun = false, true
+		mayClose := func(conn *modelServerConn) bool {
+			return conn.open && conn.streamsTo == nil && (conn.req == nil || conn.written)
+		}
+		if id := pick(rng, m.serverConns, mayClose); id != 0 {
+			if req := m.serverConns[id].req; req != nil {
+				req.inFlight, req.mayHaveRun = false, true
 			}
-			delete(m.hops, id)
+			delete(m.serverConns, id)
 			m.step(ServerClosed{id})
 		}
 	case 13:
-		idle := func(h *hopModel) bool { return h.open && h.busy == nil && h.feeds == nil }
-		if id := pick(rng, m.hops, idle); id != 0 {
-			if m.step(UnexpectedServerData{id}); m.hops[id] != nil {
-				m.t.Fatal("a leg kept that brought what nobody asked for")
+		idle := func(conn *modelServerConn) bool { return conn.open && conn.req == nil && conn.streamsTo == nil }
+		if id := pick(rng, m.serverConns, idle); id != 0 {
+			if m.step(UnexpectedServerData{id}); m.serverConns[id] != nil {
+				m.t.Fatal("a connection with unexpected data was kept")
 			}
 		}
 	case 14:
-		if leg := pick(rng, m.callers, func(c *call) bool { return c != nil && c.answers == 0 }); leg != 0 {
-			m.flooding[leg] = true
-			m.step(ClientFlooding{leg})
+		if client := pick(rng, m.clients, func(req *modelRequest) bool {
+			return req != nil && req.answers == 0
+		}); client != 0 {
+			m.flooding[client] = true
+			m.step(ClientFlooding{client})
 		}
 	case 12:
 		if rng.IntN(4) == 0 {
-			m.routes(lg.Changes, []lg.State{lg.Ready, lg.Ready, lg.Draining, lg.Gone}[rng.IntN(4)],
+			m.updateList(lg.Changes, []lg.State{lg.Ready, lg.Ready, lg.Draining, lg.Gone}[rng.IntN(4)],
 				lg.ServerID(1+rng.IntN(3)))
 		}
 	}
-	m.pass(time.Duration(rng.IntN(60)) * ms)
+	m.advance(time.Duration(rng.IntN(60)) * ms)
 }
 
-// FuzzSteps checks random steps of callers, next hops and discovery against the model, then
-// stops the proxy: it must end with all answered.
+// FuzzSteps checks random steps of clients, servers and discovery against the model, then stops the
+// proxy: it must end with every request answered.
 func FuzzSteps(f *testing.F) {
 	for seed := range uint64(30) {
 		f.Add(seed, 400)
@@ -147,35 +156,36 @@
 		for range min(steps, 2000) {
 			m.random(rng)
 		}
-		m.counted()
-		m.stopped, m.lasts = true, 2
+		m.checkMetrics()
+		m.stopping, m.lateClients = true, 2
 		m.step(Stopping{})
 		for range 20 {
 			m.random(rng)
 		}
-		if v := m.s.Violations(); v.Total() > 0 {
-			m.t.Fatalf("violations %v", v)
+		if violations := m.s.Violations(); violations.Total() > 0 {
+			m.t.Fatalf("violations %v", violations)
 		}
-		for _, c := range m.calls { // the sockets bound how long a request may come in
-			if c.stream && !c.whole && c.answers == 0 && !c.left {
-				m.step(RequestBodyFailed{Conn: c.leg, TimedOut: true})
+		for _, req := range m.requests { // the transport limits how long a request may take to arrive
+			if req.stream && !req.complete && req.answers == 0 && !req.left {
+				m.step(RequestBodyFailed{Conn: req.conn, TimedOut: true})
 			}
 		}
-		for range 3 { // once more for each who came at the last moment
-			m.pass(5 * time.Second)
-			m.counted()
-			for leg := range m.writing {
-				m.flowed(leg, true, false)
-				if !m.writing[leg] {
-					m.callers[leg] = nil
+		for range 3 { // repeated for clients that connected last
+			m.advance(5 * time.Second)
+			m.checkMetrics()
+			for client := range m.writing {
+				m.endStream(client, true, false)
+				if !m.writing[client] {
+					m.clients[client] = nil
 				}
-				delete(m.writing, leg)
-				m.step(ResponseWritten{Conn: leg, OK: true})
+				delete(m.writing, client)
+				m.step(ResponseWritten{Conn: client, OK: true})
 			}
-			m.pass(2 * drainInterval)
+			m.advance(2 * drainInterval)
 		}
-		if !m.done || len(m.s.requests)+len(m.s.openNames) != 0 || m.lasts > 0 {
-			t.Fatalf("finished %t with %d requests left, %d callers not told", m.done, len(m.s.requests), m.lasts)
+		if !m.finished || len(m.s.requests)+len(m.s.openNames) != 0 || m.lateClients > 0 {
+			t.Fatalf("finished %t with %d requests left, %d clients not reported", m.finished,
+				len(m.s.requests), m.lateClients)
 		}
 	})
 }
--- a/internal/reducer/listcalls_test.go
+++ b/internal/reducer/listcalls_test.go
@@ -8,49 +8,48 @@
 	lg "lilacglade"
 )
 
-// TestReloadAsksAnew guards against waiting for the old discovery after a reload, and against
-// two calls at once: one is out until its answer or a new address.
-func TestReloadAsksAnew(t *testing.T) {
+// TestReloadCallsNewAddress checks that after a reload the old discovery is not waited for, and that
+// only one call is open at a time, until its answer or a new address.
+func TestReloadCallsNewAddress(t *testing.T) {
 	m := newModel(t)
-	calls := func(ev Event) (at []string) {
+	calls := func(ev Event) (addresses []string) {
 		for _, e := range m.s.Step(m.now, ev) {
 			if e.Do == Watch {
-				at = append(at, e.Text)
+				addresses = append(addresses, e.Text)
 			}
 		}
-		return at
+		return addresses
 	}
 	for i, tc := range []struct {
 		address string
 		want    []string
 	}{{"a", []string{"a"}}, {"a", nil}, {"b", []string{"b"}}} {
 		if got := calls(Reloaded{nil, tc.address, 12, 8}); !slices.Equal(got, tc.want) {
-			t.Errorf("reload %d: asked at %q, want %q", i, got, tc.want)
+			t.Errorf("reload %d: called %q, want %q", i, got, tc.want)
 		}
 	}
 	m.s.execute(lg.Action{Do: lg.Subscribe})
 	if m.now += 3500 * ms; len(calls(TimerFired{})) != 0 {
-		t.Error("asked while a call is out")
+		t.Error("called while a call is open")
 	}
 	m.now += 2 * time.Second
 	if got := calls(TimerFired{}); !slices.Equal(got, []string{"b"}) ||
 		!m.s.effects[slices.IndexFunc(m.s.effects, func(e Effect) bool { return e.Do == Watch })].NewConn {
-		t.Errorf("asked at %q where no whole list had come 2 s after it should have", got)
+		t.Errorf("called %q 2 s after a full list was due", got)
 	}
 	m.now += 100 * ms
 	if got := calls(ListReceived{}); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("asked at %q after an answer", got)
+		t.Errorf("called %q after an answer", got)
 	}
 }
 
-// TestCallsForTheRouteSetArePaced covers the fleet's part in discovery's time where it turns calls
-// away: the more proxies and the
-// dearer a whole
-// list, the later the next call, but never later than the settings allow; few proxies ask at once, as ever.
-func TestCallsForTheRouteSetArePaced(t *testing.T) {
+// TestListCallsArePaced covers the time between calls after discovery has failed one: it grows with the
+// number of proxies and the time that discovery takes for a full list, up to the limit of the settings.
+// A few proxies call again at once, as they do without a failure.
+func TestListCallsArePaced(t *testing.T) {
 	for _, tc := range []struct {
 		proxies    int
-		failed     bool // the call before
+		failed     bool // the previous call failed
 		took, want time.Duration
 	}{{4, true, ms, 20 * ms}, {36, true, 20 * ms, 900 * ms}, {36, true, 250 * ms, 4 * time.Second},
 		{300, true, 250 * ms, 4 * time.Second}, {300, false, 50 * ms, 100 * ms}} {
@@ -61,31 +60,31 @@
 			t.Fatal(err)
 		}
 		now := time.Hour
-		asked := func(ev Event) (at time.Duration) {
+		calledAt := func(ev Event) (next time.Duration) {
 			for _, e := range s.Step(now, ev) {
 				if e.Do == Watch {
-					at = now
+					next = now
 				}
 			}
-			return at
+			return next
 		}
-		began := asked(ListReceived{List: lg.List{Kind: lg.CachedList, Servers: []lg.Server{{ID: 1}}}})
+		start := calledAt(ListReceived{List: lg.List{Kind: lg.CachedList, Servers: []lg.Server{{ID: 1}}}})
 		call := func() {
-			for ; began == 0 && now < 2*time.Hour; now += 10 * ms {
-				began = asked(TimerFired{})
+			for ; start == 0 && now < 2*time.Hour; now += 10 * ms {
+				start = calledAt(TimerFired{})
 			}
 		}
 		if call(); tc.failed {
-			began = asked(ListReceived{List: lg.List{Kind: lg.ListFailed}})
+			start = calledAt(ListReceived{List: lg.List{Kind: lg.ListFailed}})
 			call()
 		}
-		now = began + tc.took
-		at := asked(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}}}})
-		for ; at == 0 && now < 2*time.Hour; now += 10 * ms {
-			at = asked(TimerFired{})
+		now = start + tc.took
+		next := calledAt(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}}}})
+		for ; next == 0 && now < 2*time.Hour; now += 10 * ms {
+			next = calledAt(TimerFired{})
 		}
-		if got := at - began - tc.want; got < -tc.took || got > 20*ms+tc.took {
-			t.Errorf("%d proxies, %v a list: asked again after %v, want %v", tc.proxies, tc.took, at-began, tc.want)
+		if deviation := next - start - tc.want; deviation < -tc.took || deviation > 20*ms+tc.took {
+			t.Errorf("%d proxies, %v a list: next call after %v, want %v", tc.proxies, tc.took, next-start, tc.want)
 		}
 	}
 }
--- a/internal/reducer/listlog_test.go
+++ b/internal/reducer/listlog_test.go
@@ -8,8 +8,8 @@
 	lg "lilacglade"
 )
 
-// logged returns the lines that the step's effects log.
-func (l *lister) logged() string {
+// stepLog returns the lines that the last step logged.
+func (l *listTest) stepLog() string {
 	var lines []string
 	for _, e := range l.s.effects {
 		if e.Do == Log {
@@ -19,35 +19,35 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestListLog covers what operators are told of calls that fail: each call that follows, with the pause
-// before it, the end of the outage, and the figures.
+// TestListLog covers what operators are shown of failed calls: a line for each following call with the
+// pause before it, a line at the end of the outage, and the metrics.
 func TestListLog(t *testing.T) {
-	l := newLister(t, func(cfg *Config) {
+	l := newListTest(t, func(cfg *Config) {
 		cfg.Settings.AskForList, cfg.Settings.AskEvery = true, 10*time.Second
 	})
-	l.next(listOf(lg.CachedList, lg.Ready, 1))
-	l.next(listOf(lg.FullList, lg.Ready, 1))
+	l.nextCall(listOf(lg.CachedList, lg.Ready, 1))
+	l.nextCall(listOf(lg.FullList, lg.Ready, 1))
 	if got := l.s.list.metrics(l.now); !got.Received || got.FailedCalls != 0 {
 		t.Errorf("before: %+v", got)
 	}
-	heard := l.now
+	answered := l.now
 	l.now += time.Second
-	paused, _ := l.next(failedCall)
-	if !strings.Contains(l.logged(), "1 failed") {
-		t.Errorf("logged %q", l.logged())
+	pause, _ := l.nextCall(failedCall)
+	if !strings.Contains(l.stepLog(), "1 failed") {
+		t.Errorf("logged %q", l.stepLog())
 	}
-	if want := "call 2 failed after 1s, the next one is due in "; !strings.Contains(l.lines.String(), want) {
-		t.Errorf("logged %q, want %q", l.lines.String(), want)
+	if want := "call 2 failed after 1s, the next one is due in "; !strings.Contains(l.log.String(), want) {
+		t.Errorf("logged %q, want %q", l.log.String(), want)
 	}
 	got := l.s.list.metrics(l.now)
-	if got.FailedCalls != 1 || got.LongestPause != paused || (got.SinceAnswer-(l.now-heard)).Abs() > 200*ms {
-		t.Errorf("while it fails: %+v, paused %v", got, paused)
+	if got.FailedCalls != 1 || got.LongestPause != pause || (got.SinceAnswer-(l.now-answered)).Abs() > 200*ms {
+		t.Errorf("while it fails: %+v, paused %v", got, pause)
 	}
-	l.next(failedCall)
+	l.nextCall(failedCall)
 	l.now += 2 * time.Second
-	l.calls(listOf(lg.Changes, lg.Ready))
-	if !strings.Contains(l.logged(), "answers again") || !strings.Contains(l.logged(), "2 failed") {
-		t.Errorf("logged %q", l.logged())
+	l.step(listOf(lg.Changes, lg.Ready))
+	if !strings.Contains(l.stepLog(), "answers again") || !strings.Contains(l.stepLog(), "2 failed") {
+		t.Errorf("logged %q", l.stepLog())
 	}
 	if got := l.s.list.metrics(l.now); got.FailedCalls != 0 || got.SinceAnswer != 0 {
 		t.Errorf("after: %+v", got)
--- a/internal/reducer/maintenance_test.go
+++ b/internal/reducer/maintenance_test.go
@@ -9,8 +9,8 @@
 	"lilacglade/internal/fencing"
 )
 
-// settleWork is a State that knows three machines, and a way to step it.
-func settleWork(t *testing.T) (*State, func(ev Event, at time.Duration) []Effect) {
+// newMaintenanceState returns a State with three servers and a function to step it.
+func newMaintenanceState(t *testing.T) (*State, func(ev Event, at time.Duration) []Effect) {
 	cfg := testConfig()
 	cfg.Maintenance, cfg.PublishMetrics = true, true
 	s, err := New(cfg)
@@ -23,14 +23,14 @@
 	return s, step
 }
 
-// reaches has requests come and be answered; it tells whether one is sent to a machine.
-func (s *State) reaches(step func(Event, time.Duration) []Effect, id lg.ServerID, at time.Duration,
-	leg *ConnID) (got bool) {
+// sendsTo has 60 requests received and answered, and reports whether any is sent to the given server.
+func (s *State) sendsTo(step func(Event, time.Duration) []Effect, id lg.ServerID, at time.Duration,
+	client *ConnID) (got bool) {
 	for range 60 {
-		*leg++
-		step(ClientOpened{*leg}, at)
-		todo := step(RequestReceived{Conn: *leg, Name: fmt.Sprint(*leg), Deadline: at + time.Second,
-			Key: uint64(*leg) * 0x9e3779b97f4a7c15, HasKey: true}, at)
+		*client++
+		step(ClientOpened{*client}, at)
+		todo := step(RequestReceived{Conn: *client, Name: fmt.Sprint(*client), Deadline: at + time.Second,
+			Key: uint64(*client) * 0x9e3779b97f4a7c15, HasKey: true}, at)
 		for len(todo) > 0 {
 			e := todo[0]
 			todo = todo[1:]
@@ -43,66 +43,69 @@
 				todo = append(todo, step(ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}, at)...)
 			}
 		}
-		step(ClientClosed{*leg}, at)
+		step(ClientClosed{*client}, at)
 	}
 	return got
 }
 
-// TestWorkHolds guards against a request at a machine that may be out: before the first lease, once it is
-// marked, and at named ones once the lease has run out, however late the process looks at its clock.
-func TestWorkHolds(t *testing.T) {
-	s, step := settleWork(t)
-	now, leg := time.Hour, ConnID(0)
-	if s.Ready() || s.reaches(step, 1, now, &leg) {
+// TestMaintenanceHolds checks that no request is sent to a server that may be out: to any before the
+// first lease, to a marked one, and to a named one once the lease has run out, however late the process
+// reads its clock.
+func TestMaintenanceHolds(t *testing.T) {
+	s, step := newMaintenanceState(t)
+	now, client := time.Hour, ConnID(0)
+	if s.Ready() || s.sendsTo(step, 1, now, &client) {
 		t.Error("served before the first lease")
 	}
-	f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
+	facts := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
 		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
-	step(FencingUpdated{Facts: f}, now)
-	if !s.Ready() || s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
-		t.Error("a marked machine gets requests, or a named one none")
+	step(FencingUpdated{Facts: facts}, now)
+	if !s.Ready() || s.sendsTo(step, 1, now, &client) || !s.sendsTo(step, 2, now, &client) {
+		t.Error("a marked server gets requests, or a named one none")
 	}
-	// Discovery that lists it as ready again changes nothing.
+	// A list from discovery in which it is ready changes nothing.
 	step(ListReceived{List: lg.List{Kind: lg.FullList, Servers: []lg.Server{{ID: 1}, {ID: 2}, {ID: 3}}}}, now)
-	if s.reaches(step, 1, now, &leg) {
-		t.Error("discovery's word goes before what was settled")
+	if s.sendsTo(step, 1, now, &client) {
+		t.Error("a list from discovery overrides the mark")
 	}
-	// The process was paused for longer than its lease: the first event then is a request.
+	// The process was paused for longer than its lease, and the first event after that is a request.
 	now += 10 * time.Second
-	if s.reaches(step, 2, now, &leg) || !s.reaches(step, 3, now, &leg) {
-		t.Error("a paused process begins at a machine that may be out")
+	if s.sendsTo(step, 2, now, &client) || !s.sendsTo(step, 3, now, &client) {
+		t.Error("a paused process sends to a server that may be out, or not to another")
 	}
-	f.Index, f.Marked, f.Named, f.Until = 4, nil, nil, now+3*time.Second
-	step(FencingUpdated{Facts: f}, now)
-	if !s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
-		t.Error("not sent to again")
+	facts.Index, facts.Marked, facts.Named, facts.Until = 4, nil, nil, now+3*time.Second
+	step(FencingUpdated{Facts: facts}, now)
+	if !s.sendsTo(step, 1, now, &client) || !s.sendsTo(step, 2, now, &client) {
+		t.Error("no requests after the mark was removed and the lease renewed")
 	}
 }
 
-// TestWorkClear covers when nothing is left at a marked machine: not while a leg is there, also where
-// discovery has dropped the machine and listed it again; and what stays open after the lease is cut.
-func TestWorkClear(t *testing.T) {
-	for _, tc := range []struct{ relist, lapse bool }{{false, false}, {true, false}, {false, true}} {
-		s, step := settleWork(t)
+// TestMaintenanceClear checks when a marked server is reported as clear: not while a connection to it
+// is open, even if discovery has removed the server and listed it again; and after the lease has run
+// out, once the remaining connections were closed.
+func TestMaintenanceClear(t *testing.T) {
+	for _, tc := range []struct{ relist, expire bool }{{false, false}, {true, false}, {false, true}} {
+		s, step := newMaintenanceState(t)
 		now := time.Hour
-		f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
+		facts := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
 			Grace: time.Second}
-		step(FencingUpdated{Facts: f}, now)
+		step(FencingUpdated{Facts: facts}, now)
 		step(ClientOpened{1}, now)
-		var at lg.ServerID
-		var hop ConnID
+		var server lg.ServerID
+		var conn ConnID
 		for _, e := range step(RequestReceived{Conn: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
 			if e.Do == Dial {
-				at, hop = e.Server, e.Conn
+				server, conn = e.Server, e.Conn
 			}
 		}
-		step(ServerDialed{Conn: hop, OK: true}, now)
-		step(RequestWritten{Conn: hop, OK: true}, now)
-		f.Index, f.Marked = 4, []fencing.Mark[lg.ServerID]{{Machine: at, Grant: 4}}
-		step(FencingUpdated{Facts: f}, now)
+		step(ServerDialed{Conn: conn, OK: true}, now)
+		step(RequestWritten{Conn: conn, OK: true}, now)
+		facts.Index, facts.Marked = 4, []fencing.Mark[lg.ServerID]{{Machine: server, Grant: 4}}
+		step(FencingUpdated{Facts: facts}, now)
 		if tc.relist {
-			step(ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at, State: lg.Gone}}}}, now)
-			step(ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: at}}}}, now)
+			step(ListReceived{List: lg.List{Kind: lg.Changes,
+				Servers: []lg.Server{{ID: server, State: lg.Gone}}}}, now)
+			step(ListReceived{List: lg.List{Kind: lg.Changes, Servers: []lg.Server{{ID: server}}}}, now)
 		}
 		cleared := func(effects []Effect) bool {
 			for _, e := range effects {
@@ -118,43 +121,44 @@
 			clear = clear || cleared(step(TimerFired{}, now))
 		}
 		if clear || len(s.serverConns) != 1 {
-			t.Errorf("%+v: clear with a request there", tc)
+			t.Errorf("%+v: reported as clear with an open request", tc)
 		}
-		if tc.lapse {
+		if tc.expire {
 			if now += 2 * time.Second; !cleared(step(TimerFired{}, now)) &&
 				!cleared(step(TimerFired{}, now+clearPollInterval)) {
-				t.Errorf("%+v: not cut after the lease and the longest deadline", tc)
+				t.Errorf("%+v: not closed after the lease and the longest deadline", tc)
 			}
 			continue
 		}
-		done := step(ServerAnswered{Conn: hop, Result: lg.OK, Reusable: true}, now)
+		done := step(ServerAnswered{Conn: conn, Result: lg.OK, Reusable: true}, now)
 		if !cleared(append(done, step(TimerFired{}, now+2*clearPollInterval)...)) {
-			t.Errorf("%+v: never clear", tc)
+			t.Errorf("%+v: never reported as clear", tc)
 		}
 	}
 }
 
-// TestOwnMachineGoesOut covers a proxy that is to go out itself: it is not ready, serves what still comes,
-// each answer its leg's last, and says that it is empty only when it is; from then on it takes nothing.
-func TestOwnMachineGoesOut(t *testing.T) {
-	s, step := settleWork(t)
+// TestOwnMachineMaintenance covers a proxy whose own machine is to be taken out: it is not ready,
+// answers requests that still arrive, each as the last one on its connection, and reports that it is
+// clear only when nothing is open. From then on it rejects every request.
+func TestOwnMachineMaintenance(t *testing.T) {
+	s, step := newMaintenanceState(t)
 	now := time.Hour
-	f := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
-	step(FencingUpdated{Facts: f}, now)
+	facts := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
+	step(FencingUpdated{Facts: facts}, now)
 	step(ClientOpened{1}, now)
 	step(ClientOpened{2}, now)
-	var hop ConnID
+	var conn ConnID
 	for _, e := range step(RequestReceived{Conn: 1, Name: "a", Deadline: now + 10*time.Second}, now) {
 		if e.Do == Dial {
-			hop = e.Conn
+			conn = e.Conn
 		}
 	}
-	step(ServerDialed{Conn: hop, OK: true}, now)
-	step(RequestWritten{Conn: hop, OK: true}, now)
-	f.Index = 4
-	step(FencingUpdated{Facts: f, OwnGrant: 4}, now)
-	empty := func(long time.Duration) (got bool) {
-		for end := now + long; now < end; now += drainInterval {
+	step(ServerDialed{Conn: conn, OK: true}, now)
+	step(RequestWritten{Conn: conn, OK: true}, now)
+	facts.Index = 4
+	step(FencingUpdated{Facts: facts, OwnGrant: 4}, now)
+	reportedClear := func(duration time.Duration) (got bool) {
+		for end := now + duration; now < end; now += drainInterval {
 			for _, e := range step(TimerFired{}, now) {
 				got = got || e.Do == ReportFencing && e.Payload.(FencingStatus).OwnGrant == 4
 				if e.Do == CheckClientIdle {
@@ -164,42 +168,42 @@
 		}
 		return got
 	}
-	if s.Ready() || empty(time.Second) {
-		t.Error("ready, or empty with a request in work")
+	if s.Ready() || reportedClear(time.Second) {
+		t.Error("ready, or reported as clear with a request in progress")
 	}
-	for _, e := range step(ServerAnswered{Conn: hop, Result: lg.OK, Reusable: true}, now) {
+	for _, e := range step(ServerAnswered{Conn: conn, Result: lg.OK, Reusable: true}, now) {
 		if e.Do == AnswerClient && !e.Last {
-			t.Error("the leg stays open behind the answer")
+			t.Error("the connection stays open after the answer")
 		}
 	}
 	step(ResponseWritten{Conn: 1, OK: true}, now)
-	if !empty(2 * time.Second) {
-		t.Error("never empty")
+	if !reportedClear(2 * time.Second) {
+		t.Error("never reported as clear")
 	}
 	step(ClientOpened{3}, now)
 	for _, e := range step(RequestReceived{Conn: 3, Name: "b", Deadline: now + 10*time.Second}, now) {
 		if e.Do == Dial || e.Do == AnswerClient && e.Verdict != Rejected {
-			t.Error("takes a request after it was empty")
+			t.Error("accepts a request after it was clear")
 		}
 	}
-	f.Index = 5
-	if step(FencingUpdated{Facts: f}, now); !s.Ready() {
-		t.Error("not ready again after the order was given up")
+	facts.Index = 5
+	if step(FencingUpdated{Facts: facts}, now); !s.Ready() {
+		t.Error("not ready again after the grant ended")
 	}
 }
 
-// TestNoPeersCostNothing guards against work on a request's path where no proxies talk to each other.
-func TestNoPeersCostNothing(t *testing.T) {
+// TestNoMaintenanceWithoutPeers checks that without peers requests cost no work for maintenance.
+func TestNoMaintenanceWithoutPeers(t *testing.T) {
 	s, err := New(testConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.maintenance != nil {
-		t.Error("there is something to look at")
+		t.Error("there is maintenance state")
 	}
 	for _, e := range s.Step(time.Hour, FencingUpdated{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
 		if e.Do == ReportFencing {
-			t.Error("facts were taken in")
+			t.Error("facts were applied")
 		}
 	}
 }
--- a/internal/reducer/model_test.go
+++ b/internal/reducer/model_test.go
@@ -22,53 +22,54 @@
 					Group: lg.GroupZone, Memory: 1200 * ms}}}}
 }
 
-// call is a request as the model sees it.
-type call struct {
-	leg      ConnID
-	class    int
-	deadline time.Duration
-	out      bool // a branch of it is on a hop leg
-	mayRun   bool
-	ranAt    time.Duration // when the first branch was forwarded that may have run, or else the last one
-	answers  int
-	left     bool
-	verdict  Verdict
-	stream   bool // it is passed on as it comes in
-	whole    bool // and its last byte has come
-	gone     bool // it can't be sent again
-	cut      bool // its answer was not passed on whole
+// modelRequest is a request as the model sees it.
+type modelRequest struct {
+	conn         ConnID
+	class        int
+	deadline     time.Duration
+	inFlight     bool // an attempt is on a server connection
+	mayHaveRun   bool
+	ranAt        time.Duration // time of the first Forward that may have run, else of the last one
+	answers      int
+	left         bool
+	verdict      Verdict
+	stream       bool // it is forwarded while it arrives
+	complete     bool // and its last byte has arrived
+	bodyConsumed bool // it can't be sent again
+	truncated    bool // its answer was not passed on completely
 }
 
-type hopModel struct {
-	server  lg.ServerID
-	open    bool
-	busy    *call // the exchange that is on it, nil when idle
-	written bool
-	feeds   *call // the answer to it is passed on from here
+type modelServerConn struct {
+	server    lg.ServerID
+	open      bool
+	req       *modelRequest // the exchange on it; nil if idle
+	written   bool
+	streamsTo *modelRequest // the request whose answer streams from it
 }
 
-// model plays both sides of a State and holds what must be true of the connections.
+// model plays clients, servers and discovery for a State, and checks its effects against what must
+// hold.
 type model struct {
-	t        *testing.T
-	s        *State
-	now      time.Duration
-	armed    time.Duration
-	callers  map[ConnID]*call // nil: idle
-	writing  map[ConnID]bool  // answers being written, and whether they are the last
-	flooding map[ConnID]bool  // sent too far ahead
-	hops     map[ConnID]*hopModel
-	state    map[lg.ServerID]lg.State
-	calls    []*call
-	next     ConnID
-	stopped  bool
-	done     bool
-	figures  *Metrics
-	easing   []ConnID
-	parted   map[ConnID]bool
-	last     bool // the proxy asks who has connected
-	lasts    int  // callers that come at that moment
-	flows    map[*call]bool
-	tries    uint64
+	t                   *testing.T
+	s                   *State
+	now                 time.Duration
+	armed               time.Duration
+	clients             map[ConnID]*modelRequest // nil: idle
+	writing             map[ConnID]bool          // answers being written, and whether they are the last ones
+	flooding            map[ConnID]bool          // clients that sent too far ahead
+	serverConns         map[ConnID]*modelServerConn
+	serverStates        map[lg.ServerID]lg.State
+	requests            []*modelRequest
+	lastClient          ConnID
+	stopping            bool
+	finished            bool
+	metrics             *Metrics
+	idleChecks          []ConnID
+	writeClosed         map[ConnID]bool
+	drainingAcceptQueue bool // DrainAcceptQueue was requested
+	lateClients         int  // clients that still connect at that time
+	streaming           map[*modelRequest]bool
+	requestsWritten     uint64
 }
 
 func newModel(t *testing.T) *model {
@@ -76,18 +77,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, s: s, now: time.Hour, callers: map[ConnID]*call{}, writing: map[ConnID]bool{},
-		flooding: map[ConnID]bool{}, flows: map[*call]bool{}, parted: map[ConnID]bool{},
-		hops: map[ConnID]*hopModel{}, state: map[lg.ServerID]lg.State{}}
-	m.routes(lg.CachedList, lg.Ready, 1, 2, 3)
-	m.routes(lg.FullList, lg.Ready, 1, 2, 3)
+	m := &model{t: t, s: s, now: time.Hour, clients: map[ConnID]*modelRequest{}, writing: map[ConnID]bool{},
+		flooding: map[ConnID]bool{}, streaming: map[*modelRequest]bool{}, writeClosed: map[ConnID]bool{},
+		serverConns: map[ConnID]*modelServerConn{}, serverStates: map[lg.ServerID]lg.State{}}
+	m.updateList(lg.CachedList, lg.Ready, 1, 2, 3)
+	m.updateList(lg.FullList, lg.Ready, 1, 2, 3)
 	return m
 }
 
-func (m *model) routes(kind lg.ListKind, state lg.State, ids ...lg.ServerID) {
+func (m *model) updateList(kind lg.ListKind, state lg.State, ids ...lg.ServerID) {
 	list := lg.List{Kind: kind}
 	for _, id := range ids {
-		m.state[id] = state
+		m.serverStates[id] = state
 		list.Servers = append(list.Servers, lg.Server{ID: id, State: state, Weight: 1})
 	}
 	m.step(ListReceived{List: list})
@@ -96,206 +97,209 @@
 func (m *model) step(ev Event) {
 	m.t.Helper()
 	for _, e := range slices.Clone(m.s.Step(m.now, ev)) {
-		m.see(e)
+		m.checkEffect(e)
 	}
-	for len(m.easing) > 0 {
-		leg := m.easing[0]
-		m.easing = m.easing[1:]
-		m.step(ClientIdleConfirmed{leg})
+	for len(m.idleChecks) > 0 {
+		conn := m.idleChecks[0]
+		m.idleChecks = m.idleChecks[1:]
+		m.step(ClientIdleConfirmed{conn})
 	}
-	if m.last {
-		if m.last = false; m.lasts > 0 {
-			m.lasts--
-			m.next += 1000
-			m.open(m.next)
-			m.ask(m.next, 0)
+	if m.drainingAcceptQueue {
+		if m.drainingAcceptQueue = false; m.lateClients > 0 {
+			m.lateClients--
+			m.lastClient += 1000
+			m.openClient(m.lastClient)
+			m.sendRequest(m.lastClient, 0)
 		}
 		m.step(AcceptQueueDrained{})
 	}
 }
 
-// see checks one effect against the rules and takes it into the model.
-func (m *model) see(e Effect) {
+// checkEffect checks one effect against the rules and applies it to the model.
+func (m *model) checkEffect(effect Effect) {
 	m.t.Helper()
-	switch e.Do {
+	switch effect.Do {
 	case AnswerClient:
-		c, known := m.callers[e.Conn]
-		if _, twice := m.writing[e.Conn]; !known || twice {
-			m.t.Fatalf("an answer on leg %d, which is gone or being written to", e.Conn)
+		req, known := m.clients[effect.Conn]
+		if _, twice := m.writing[effect.Conn]; !known || twice {
+			m.t.Fatalf("an answer on client connection %d, which is closed or being written to", effect.Conn)
 		}
-		if m.stopped && !e.Last {
-			m.t.Fatal("a leg kept open by an answer after the stop began")
+		if m.stopping && !effect.Last {
+			m.t.Fatal("a connection kept open by an answer after the stop began")
 		}
-		if m.flooding[e.Conn] && !e.Last {
-			m.t.Fatal("a leg kept open whose caller sent too far ahead")
+		if m.flooding[effect.Conn] && !effect.Last {
+			m.t.Fatal("a connection kept open whose client sent too far ahead")
 		}
-		m.writing[e.Conn] = e.Last
-		if c == nil {
+		m.writing[effect.Conn] = effect.Last
+		if req == nil {
 			return
 		}
-		c.verdict = e.Verdict
-		if c.answers++; c.answers > 1 {
+		req.verdict = effect.Verdict
+		if req.answers++; req.answers > 1 {
 			m.t.Fatal("two answers to one request")
 		}
-		if c.stream && !c.whole && !e.Last {
-			m.t.Fatal("a leg kept open on which the rest of a request comes")
+		if req.stream && !req.complete && !effect.Last {
+			m.t.Fatal("a connection kept open on which the rest of a request arrives")
 		}
-		if e.Verdict == Rejected && (c.mayRun || c.out) {
-			m.t.Fatal("refused, though it may have run")
+		if effect.Verdict == Rejected && (req.mayHaveRun || req.inFlight) {
+			m.t.Fatal("rejected, though it may have run")
 		}
 	case CloseClientConn:
-		if c, ok := m.callers[e.Conn]; !ok {
-			m.t.Fatalf("caller leg %d closed twice", e.Conn)
-		} else if c == nil {
-			m.t.Fatal("an idle leg closed on which something may have come")
-		} else if c != nil && c.answers == 0 {
-			m.t.Fatal("a leg closed with its request unanswered")
+		if req, ok := m.clients[effect.Conn]; !ok {
+			m.t.Fatalf("client connection %d closed twice", effect.Conn)
+		} else if req == nil {
+			m.t.Fatal("an idle connection closed that may have unread input")
+		} else if req != nil && req.answers == 0 {
+			m.t.Fatal("a connection closed with its request unanswered")
 		}
-		m.forget(e.Conn)
+		m.removeClient(effect.Conn)
 	case Dial:
-		if m.hops[e.Conn] = (&hopModel{server: e.Server}); len(m.hops) > m.s.cfg.MaxServerConns {
-			m.t.Fatalf("%d hop legs", len(m.hops))
+		if m.serverConns[effect.Conn] = (&modelServerConn{server: effect.Server}); len(m.serverConns) >
+			m.s.cfg.MaxServerConns {
+			m.t.Fatalf("%d server connections", len(m.serverConns))
 		}
-		if m.state[e.Server] != lg.Ready {
-			m.t.Fatal("dialed a next hop that takes nothing new")
+		if m.serverStates[effect.Server] != lg.Ready {
+			m.t.Fatal("dialed a draining server")
 		}
 	case Forward:
-		h, c := m.hops[e.Conn], e.Payload.(*call)
+		conn, req := m.serverConns[effect.Conn], effect.Payload.(*modelRequest)
 		switch {
-		case h == nil || !h.open || h.busy != nil || h.feeds != nil:
-			m.t.Fatalf("forwarded on leg %d, which is closed or busy", e.Conn)
-		case c.out || c.answers > 0 || c.left:
-			m.t.Fatal("a second branch, or one after the answer, or for nobody")
-		case c.gone:
-			m.t.Fatal("a request sent again whose bytes are gone")
-		case c.mayRun && c.class == 0:
+		case conn == nil || !conn.open || conn.req != nil || conn.streamsTo != nil:
+			m.t.Fatalf("forwarded on server connection %d, which is closed or busy", effect.Conn)
+		case req.inFlight || req.answers > 0 || req.left:
+			m.t.Fatal("a second attempt, or one after the answer, or without a client")
+		case req.bodyConsumed:
+			m.t.Fatal("a request sent again whose body was consumed")
+		case req.mayHaveRun && req.class == 0:
 			m.t.Fatal("an unsafe request sent again after it may have run")
-		case m.state[h.server] != lg.Ready:
-			m.t.Fatal("forwarded to a next hop that takes nothing new")
-		case m.now >= c.deadline-answerMargin:
-			m.t.Fatal("forwarded after its time")
-		case c.mayRun && m.now-c.ranAt >= m.s.cfg.Settings.Classes[c.class].Memory:
+		case m.serverStates[conn.server] != lg.Ready:
+			m.t.Fatal("forwarded to a draining server")
+		case m.now >= req.deadline-answerMargin:
+			m.t.Fatal("forwarded after its deadline")
+		case req.mayHaveRun && m.now-req.ranAt >= m.s.cfg.Settings.Classes[req.class].Memory:
 			m.t.Fatal("repeated after the window in which repeats are dropped")
 		}
-		if !c.mayRun {
-			c.ranAt = m.now
+		if !req.mayHaveRun {
+			req.ranAt = m.now
 		}
-		h.busy, h.written, c.out = c, false, true
+		conn.req, conn.written, req.inFlight = req, false, true
 	case CloseServerConn:
-		h := m.hops[e.Conn]
-		if h == nil {
-			m.t.Fatalf("hop leg %d closed twice", e.Conn)
+		conn := m.serverConns[effect.Conn]
+		if conn == nil {
+			m.t.Fatalf("server connection %d closed twice", effect.Conn)
 		}
-		if h.busy != nil {
-			h.busy.out, h.busy.mayRun = false, true
+		if conn.req != nil {
+			conn.req.inFlight, conn.req.mayHaveRun = false, true
 		}
-		delete(m.hops, e.Conn)
+		delete(m.serverConns, effect.Conn)
 	case ArmTimer:
-		m.armed = e.At
+		m.armed = effect.At
 	case CheckClientIdle:
-		if c := m.callers[e.Conn]; c != nil {
-			m.t.Fatal("a leg let go that is owed an answer")
+		if req := m.clients[effect.Conn]; req != nil {
+			m.t.Fatal("a connection closed as idle on which an answer is due")
 		}
-		m.easing = append(m.easing, e.Conn)
+		m.idleChecks = append(m.idleChecks, effect.Conn)
 	case CloseClientWrite:
-		if m.callers[e.Conn] == nil {
-			m.callers[e.Conn] = &call{leg: e.Conn, answers: 1}
+		if m.clients[effect.Conn] == nil {
+			m.clients[effect.Conn] = &modelRequest{conn: effect.Conn, answers: 1}
 		}
-		m.parted[e.Conn] = true
+		m.writeClosed[effect.Conn] = true
 	case DrainAcceptQueue:
-		m.last = true
+		m.drainingAcceptQueue = true
 	case Finish:
-		m.done = true
-		for _, c := range m.callers {
-			if c == nil || c.answers == 0 {
-				m.t.Fatal("ended with a caller that is owed something")
+		m.finished = true
+		for _, req := range m.clients {
+			if req == nil || req.answers == 0 {
+				m.t.Fatal("ended with a client whose answer is due")
 			}
 		}
 	case Publish:
-		m.figures = e.Payload.(*Metrics)
+		m.metrics = effect.Payload.(*Metrics)
 	}
 }
 
-// counted checks that every request taken is counted once: as handled, in the class and the way that its
-// caller saw, or as in progress.
-func (m *model) counted() {
+// checkMetrics checks that every request received is counted exactly once: as handled, with its class
+// and the outcome that its client saw, or as in progress.
+func (m *model) checkMetrics() {
 	m.t.Helper()
-	for m.s.counters.publishScheduled { // what is published is not the newest
-		m.pass(publishInterval / 4)
+	for m.s.counters.publishScheduled { // the latest metrics are not published yet
+		m.advance(publishInterval / 4)
 	}
 	open, want := 0, []RequestCounts{{Class: "edit"}, {Class: "upload"}}
-	for _, c := range m.calls {
-		switch w := &want[c.class]; {
-		case c.answers == 0 && !c.left, m.flows[c]:
+	for _, req := range m.requests {
+		switch counts := &want[req.class]; {
+		case req.answers == 0 && !req.left, m.streaming[req]:
 			open++
-		case c.cut:
-			w.BadGateway++
-		case c.answers > 0 && c.verdict == Served:
-			w.Passed++
-		case c.answers > 0 && c.verdict == Rejected:
-			w.Dropped++
+		case req.truncated:
+			counts.BadGateway++
+		case req.answers > 0 && req.verdict == Served:
+			counts.Passed++
+		case req.answers > 0 && req.verdict == Rejected:
+			counts.Dropped++
 		default:
-			w.BadGateway++
+			counts.BadGateway++
 		}
 	}
-	if !slices.Equal(m.figures.Handled, want) || m.figures.InProgress != open ||
-		m.figures.RequestsWritten != m.tries ||
-		m.s.counters.received != uint64(len(m.calls)) {
-		m.t.Fatalf("figures %+v, want %+v, %d in progress and %d tries", m.figures, want, open, m.tries)
+	if !slices.Equal(m.metrics.Handled, want) || m.metrics.InProgress != open ||
+		m.metrics.RequestsWritten != m.requestsWritten ||
+		m.s.counters.received != uint64(len(m.requests)) {
+		m.t.Fatalf("metrics %+v, want %+v, %d in progress and %d requests written", m.metrics, want, open,
+			m.requestsWritten)
 	}
 }
 
-// flowed ends an answer that was passed on, if it was, and tells whether its hop leg is kept.
-func (m *model) flowed(leg ConnID, ok, keep bool) bool {
-	c := m.callers[leg]
-	if c == nil || !m.flows[c] {
+// endStream ends an answer that was passed on, if it was, and returns whether its server connection is
+// reused.
+func (m *model) endStream(client ConnID, ok, reusable bool) bool {
+	req := m.clients[client]
+	if req == nil || !m.streaming[req] {
 		return false
 	}
-	delete(m.flows, c)
-	c.cut = !ok
-	for _, h := range m.hops {
-		if h.feeds == c && ok && keep {
-			h.feeds = nil
+	delete(m.streaming, req)
+	req.truncated = !ok
+	for _, conn := range m.serverConns {
+		if conn.streamsTo == req && ok && reusable {
+			conn.streamsTo = nil
 		}
 	}
-	return ok && keep
+	return ok && reusable
 }
 
-func (m *model) forget(leg ConnID) {
-	m.flowed(leg, false, false)
-	if c := m.callers[leg]; c != nil {
-		c.left = true
+func (m *model) removeClient(client ConnID) {
+	m.endStream(client, false, false)
+	if req := m.clients[client]; req != nil {
+		req.left = true
 	}
-	delete(m.callers, leg)
-	delete(m.writing, leg)
-	delete(m.parted, leg)
+	delete(m.clients, client)
+	delete(m.writing, client)
+	delete(m.writeClosed, client)
 }
 
-// kept tells whether a caller leg is there and not ended by the proxy.
-func (m *model) kept(leg ConnID) bool {
-	_, there := m.callers[leg]
-	return there && !m.parted[leg]
+// isOpen reports whether a client connection is open in both directions.
+func (m *model) isOpen(client ConnID) bool {
+	_, open := m.clients[client]
+	return open && !m.writeClosed[client]
 }
 
-// pass lets time go by, waking the State whenever it asked for it.
-func (m *model) pass(by time.Duration) {
+// advance lets time pass and fires the timer when the State asked for it.
+func (m *model) advance(duration time.Duration) {
 	m.t.Helper()
-	for end := m.now + by; m.now < end; {
+	for end := m.now + duration; m.now < end; {
 		m.now = min(end, max(m.now, m.armed))
 		m.step(TimerFired{})
 	}
-	if len(m.s.serverConns) != len(m.hops) || len(m.s.clients) != len(m.callers) {
-		m.t.Fatalf("%d hop legs remembered of %d, %d caller legs of %d", len(m.s.serverConns), len(m.hops),
-			len(m.s.clients), len(m.callers))
+	if len(m.s.serverConns) != len(m.serverConns) || len(m.s.clients) != len(m.clients) {
+		m.t.Fatalf("%d server connections in the state, %d in the model; %d and %d client connections",
+			len(m.s.serverConns), len(m.serverConns), len(m.s.clients), len(m.clients))
 	}
-	for id, h := range m.hops {
-		if h.feeds != nil && !m.flows[h.feeds] {
-			m.t.Fatalf("hop leg %d still gives an answer that nobody gets", id)
+	for id, conn := range m.serverConns {
+		if conn.streamsTo != nil && !m.streaming[conn.streamsTo] {
+			m.t.Fatalf("server connection %d still streams an answer that no client receives", id)
 		}
 	}
-	for _, c := range m.calls {
-		if m.now >= c.deadline && c.answers == 0 && !c.left {
-			m.t.Fatal("no answer before the caller gave up")
+	for _, req := range m.requests {
+		if m.now >= req.deadline && req.answers == 0 && !req.left {
+			m.t.Fatal("no answer before the client's deadline")
 		}
 	}
 }
--- a/internal/reducer/modelevents_test.go
+++ b/internal/reducer/modelevents_test.go
@@ -8,18 +8,18 @@
 	lg "lilacglade"
 )
 
-// started returns a model with one request whose branch is on hop leg 1.
-func started(t *testing.T) (*model, *call) {
+// startedModel returns a model with one request whose attempt is on server connection 1.
+func startedModel(t *testing.T) (*model, *modelRequest) {
 	m := newModel(t)
-	m.callers[1] = nil
+	m.clients[1] = nil
 	m.step(ClientOpened{1})
-	m.ask(1, 0)
-	m.hops[1].open = true
+	m.sendRequest(1, 0)
+	m.serverConns[1].open = true
 	m.step(ServerDialed{Conn: 1, OK: true})
-	return m, m.calls[0]
+	return m, m.requests[0]
 }
 
-// verdict returns how the model's only caller was answered by one event.
+// verdict takes an event and returns the verdict of the answer that follows.
 func (m *model) verdict(ev Event) Verdict {
 	m.t.Helper()
 	for _, e := range m.s.Step(m.now, ev) {
@@ -31,52 +31,52 @@
 	return 0
 }
 
-// open adds a caller leg that says nothing.
-func (m *model) open(leg ConnID) {
-	m.callers[leg] = nil
-	m.step(ClientOpened{leg})
+// openClient opens a client connection on which nothing arrives.
+func (m *model) openClient(client ConnID) {
+	m.clients[client] = nil
+	m.step(ClientOpened{client})
 }
 
-func (m *model) ask(leg ConnID, class int) {
-	c := &call{leg: leg, class: class, deadline: m.now + m.s.cfg.Settings.Classes[class].Deadline}
-	m.callers[leg], m.calls = c, append(m.calls, c)
-	m.step(RequestReceived{Conn: leg, Name: fmt.Sprint(len(m.calls)), Class: class,
-		Key: uint64(leg % 5), HasKey: true, Deadline: c.deadline, Payload: c})
+func (m *model) sendRequest(client ConnID, class int) {
+	req := &modelRequest{conn: client, class: class, deadline: m.now + m.s.cfg.Settings.Classes[class].Deadline}
+	m.clients[client], m.requests = req, append(m.requests, req)
+	m.step(RequestReceived{Conn: client, Name: fmt.Sprint(len(m.requests)), Class: class,
+		Key: uint64(client % 5), HasKey: true, Deadline: req.deadline, Payload: req})
 }
 
-// stream asks for something that comes in for as long as it likes.
-func (m *model) stream(leg ConnID, class int) {
-	may := m.s.cfg.Settings.Classes[class].Deadline
-	c := &call{leg: leg, class: class, stream: true, deadline: m.now + time.Hour}
-	m.callers[leg], m.calls = c, append(m.calls, c)
-	m.step(RequestReceived{Conn: leg, Name: fmt.Sprint(len(m.calls)), Class: class, Deadline: c.deadline,
-		Payload: c, Stream: true, Timeout: may})
+// sendStream begins a request that may take any time to arrive.
+func (m *model) sendStream(client ConnID, class int) {
+	timeout := m.s.cfg.Settings.Classes[class].Deadline
+	req := &modelRequest{conn: client, class: class, stream: true, deadline: m.now + time.Hour}
+	m.clients[client], m.requests = req, append(m.requests, req)
+	m.step(RequestReceived{Conn: client, Name: fmt.Sprint(len(m.requests)), Class: class, Deadline: req.deadline,
+		Payload: req, Stream: true, Timeout: timeout})
 }
 
-// finishes brings the last byte of a request that streams.
-func (m *model) finishes(c *call) {
-	c.whole, c.deadline = true, m.now+m.s.cfg.Settings.Classes[c.class].Deadline
-	m.step(RequestBodyComplete{Conn: c.leg, ReadAt: m.now})
+// completeBody brings the last byte of a streamed request.
+func (m *model) completeBody(req *modelRequest) {
+	req.complete, req.deadline = true, m.now+m.s.cfg.Settings.Classes[req.class].Deadline
+	m.step(RequestBodyComplete{Conn: req.conn, ReadAt: m.now})
 }
 
-// end is an exchange's end on a hop leg, as the sockets would tell it.
-func (m *model) end(id ConnID, res lg.Result, keep bool) {
-	h := m.hops[id]
-	if c := h.busy; c != nil {
-		c.out = false
-		c.mayRun = c.mayRun || !res.NeverRan()
+// endExchange ends the exchange on a server connection, as the transport reports it.
+func (m *model) endExchange(id ConnID, result lg.Result, reusable bool) {
+	conn := m.serverConns[id]
+	if req := conn.req; req != nil {
+		req.inFlight = false
+		req.mayHaveRun = req.mayHaveRun || !result.NeverRan()
 	}
-	h.busy = nil
-	m.step(ServerAnswered{Conn: id, Result: res, Reusable: keep,
+	conn.req = nil
+	m.step(ServerAnswered{Conn: id, Result: result, Reusable: reusable,
 		Load: lg.LoadReport{N: 1, Values: [4]float64{3}}})
 }
 
-// streams begins an answer that is passed on as it comes, from a next hop to its caller.
-func (m *model) streams(id ConnID, c *call) {
-	c.out, c.mayRun = false, true
-	m.hops[id].busy, m.hops[id].feeds, m.flows[c] = nil, c, true
-	m.step(ResponseStreaming{Conn: id, Payload: c})
-	if _, writing := m.writing[c.leg]; !writing || c.answers != 1 || c.verdict != Served {
+// startStreaming begins an answer that is passed on from a server to its client while it arrives.
+func (m *model) startStreaming(id ConnID, req *modelRequest) {
+	req.inFlight, req.mayHaveRun = false, true
+	m.serverConns[id].req, m.serverConns[id].streamsTo, m.streaming[req] = nil, req, true
+	m.step(ResponseStreaming{Conn: id, Payload: req})
+	if _, writing := m.writing[req.conn]; !writing || req.answers != 1 || req.verdict != Served {
 		m.t.Fatal("an answer not passed on")
 	}
 }
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -9,17 +9,18 @@
 	"lilacglade/internal/listcalls"
 )
 
-// drainGrace is what the settings of these tests allow for going on with a server that drains, and slack what
-// the protocol's page adds to each limit.
+// drainGrace is the grace for draining servers in the settings of these tests, and slack what the
+// protocol adds to each limit.
 const (
 	drainGrace = 250 * ms
 	slack      = 50 * ms
 )
 
-// toFirst is a decider that sends each request to server 1, once, and refuses what comes to nothing.
-type toFirst struct{}
+// firstServer is a decider that sends each request to server 1, once, and rejects it unless that
+// succeeds.
+type firstServer struct{}
 
-func (toFirst) Handle(_ time.Duration, ev lg.Event) []lg.Action {
+func (firstServer) Handle(_ time.Duration, ev lg.Event) []lg.Action {
 	switch ev := ev.(type) {
 	case lg.Request:
 		return []lg.Action{{Do: lg.Send, Request: ev.ID, Server: 1}}
@@ -31,26 +32,27 @@
 	return nil
 }
 
-// outage is a proxy that takes events in a forced order. Its servers do all that is asked of them; what
-// becomes of its calls for the list is up to the test.
-type outage struct {
+// outageTest drives a proxy with events in a given order. Its servers do everything that is asked of
+// them; each test decides what becomes of its calls for the list.
+type outageTest struct {
 	*testing.T
-	s        *State
-	now      time.Duration
-	client   ConnID // on which the next request comes
-	forwards int
-	dials    []ConnID      // that are held up
-	holds    bool          // dials are held up
-	out      bool          // a call for the list is out,
-	began    time.Duration // since then
-	wait     time.Duration // and may wait so long
+	s            *State
+	now          time.Duration
+	client       ConnID // connection of the next request
+	forwards     int
+	delayedDials []ConnID      // not completed yet
+	delayDials   bool          // dials don't complete
+	callPending  bool          // a call for the list is open,
+	callStart    time.Duration // since this time,
+	wait         time.Duration // and may wait this long
 }
 
-// newOutage returns a proxy of a fleet that makes its first call for the list, knowing one from before.
-func newOutage(t *testing.T, fleet int) *outage {
+// newOutageTest returns a proxy in a fleet of the given size that has a cached list and makes its first
+// call for the list.
+func newOutageTest(t *testing.T, fleet int) *outageTest {
 	t.Helper()
 	cfg := testConfig()
-	cfg.Discovery, cfg.Decider = "d", toFirst{}
+	cfg.Discovery, cfg.Decider = "d", firstServer{}
 	cfg.Settings.Me, cfg.Settings.Balancers = fleet-1, fleet
 	cfg.Settings.AskEvery, cfg.Settings.DrainGrace = 10*time.Second, drainGrace
 	cfg.Settings.ConnectTimeout = time.Second
@@ -58,229 +60,234 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &outage{T: t, s: s, now: time.Hour}
+	o := &outageTest{T: t, s: s, now: time.Hour}
 	o.step(listOf(lg.CachedList, lg.Ready, 1))
 	o.s.scheduleFirstCall()
 	o.connect()
-	for !o.out {
-		o.pass(10 * ms)
+	for !o.callPending {
+		o.advance(10 * ms)
 	}
 	return o
 }
 
-// newHeard returns a proxy whose first call was answered, and whose watch is out.
-func newHeard(t *testing.T, fleet int) *outage {
+// newUpdatedOutageTest returns a proxy whose first call was answered and whose watch is open.
+func newUpdatedOutageTest(t *testing.T, fleet int) *outageTest {
 	t.Helper()
-	o := newOutage(t, fleet)
-	o.answer()
-	for !o.out {
-		o.pass(10 * ms)
+	o := newOutageTest(t, fleet)
+	o.answerCall()
+	for !o.callPending {
+		o.advance(10 * ms)
 	}
 	return o
 }
 
-// step takes an event now, and what the servers make of its effects.
-func (o *outage) step(ev Event) {
+// step takes an event now, and the events that follow from its effects.
+func (o *outageTest) step(ev Event) {
 	events := []Event{ev}
 	for len(events) > 0 {
 		var next []Event
 		for _, e := range o.s.Step(o.now, events[0]) {
-			next = append(next, o.do(e)...)
+			next = append(next, o.carryOut(e)...)
 		}
 		events = append(events[1:], next...)
 	}
 }
 
-// do carries out an effect, and returns what comes of it.
-func (o *outage) do(e Effect) []Event {
-	switch e.Do {
+// carryOut carries out an effect and returns the events that follow.
+func (o *outageTest) carryOut(effect Effect) []Event {
+	switch effect.Do {
 	case Watch:
-		o.out, o.began, o.wait = true, o.now, e.At-o.now
-		return []Event{ListConnected{}} // the service takes the connection, whether or not it answers
+		o.callPending, o.callStart, o.wait = true, o.now, effect.At-o.now
+		return []Event{ListConnected{}} // the service accepts the connection, whether or not it answers
 	case Dial:
-		if !o.holds {
-			return []Event{ServerDialed{Conn: e.Conn, OK: true}}
+		if !o.delayDials {
+			return []Event{ServerDialed{Conn: effect.Conn, OK: true}}
 		}
-		o.dials = append(o.dials, e.Conn)
+		o.delayedDials = append(o.delayedDials, effect.Conn)
 	case Forward:
 		o.forwards++
-		return []Event{RequestWritten{Conn: e.Conn, OK: true},
-			ServerAnswered{Conn: e.Conn, Result: lg.OK, Reusable: true}}
+		return []Event{RequestWritten{Conn: effect.Conn, OK: true},
+			ServerAnswered{Conn: effect.Conn, Result: lg.OK, Reusable: true}}
 	case AnswerClient:
-		return []Event{ResponseWritten{Conn: e.Conn, OK: true}}
+		return []Event{ResponseWritten{Conn: effect.Conn, OK: true}}
 	}
 	return nil
 }
 
-// pass lets time go by with the reducer's timers in time.
-func (o *outage) pass(d time.Duration) {
-	for end := o.now + d; o.now < end; {
+// advance lets time pass with the reducer's timers on time.
+func (o *outageTest) advance(duration time.Duration) {
+	for end := o.now + duration; o.now < end; {
 		o.now = min(end, o.now+10*ms)
 		o.step(TimerFired{})
 	}
 }
 
-// jump lets time go by while the reducer's timers are late: the next event finds them all due.
-func (o *outage) jump(d time.Duration) { o.now += d }
+// skip lets time pass while the reducer's timers are late: the next event finds all of them due.
+func (o *outageTest) skip(duration time.Duration) { o.now += duration }
 
-// fail ends the call that is out: the service is out of reach at this moment.
-func (o *outage) fail() {
-	o.out = false
+// failCall ends the open call as failed: the service is unreachable now.
+func (o *outageTest) failCall() {
+	o.callPending = false
 	o.step(failedCall)
 }
 
-// answer ends the call that is out with the whole list.
-func (o *outage) answer() {
-	o.out = false
+// answerCall answers the open call with the full list.
+func (o *outageTest) answerCall() {
+	o.callPending = false
 	o.step(listOf(lg.FullList, lg.Ready, 1))
 }
 
-// request brings one request and returns how often it was forwarded to a server. It comes on a connection
-// that was open before: guards against timers that are late and run with the opening, ahead of the request.
-func (o *outage) request() int {
+// request brings one request and returns how often it was forwarded to a server. It arrives on a
+// connection that was opened before. Otherwise late timers would run with the opening, before the
+// request.
+func (o *outageTest) request() int {
 	before, client := o.forwards, o.client
 	o.step(RequestReceived{Conn: client, Name: fmt.Sprint("r", client), Deadline: o.now + 2*time.Second,
 		Payload: 1})
-	if !o.holds {
+	if !o.delayDials {
 		o.step(ClientClosed{Conn: client})
 	}
 	o.connect()
 	return o.forwards - before
 }
 
-// connect opens the client's connection for the next request.
-func (o *outage) connect() {
+// connect opens the client connection of the next request.
+func (o *outageTest) connect() {
 	o.client++
 	o.step(ClientOpened{Conn: o.client})
 }
 
-// failTwice breaks the watch that is out and fails the call after it.
-func (o *outage) failTwice() {
-	o.pass(time.Second)
-	o.fail()
-	for !o.out {
-		o.pass(10 * ms)
+// failTwice fails the open watch and the call after it.
+func (o *outageTest) failTwice() {
+	o.advance(time.Second)
+	o.failCall()
+	for !o.callPending {
+		o.advance(10 * ms)
 	}
-	o.pass(ms)
-	o.fail()
+	o.advance(ms)
+	o.failCall()
 }
 
-// afterNews is longer than a list may be used for from the last moment at which the service was known to be
-// out of reach.
-const afterNews = listcalls.NewsBy + drainGrace + slack + 10*ms
+// leaseAfterFailure is longer than the list may be used after the last time at which the service was
+// known to be unreachable.
+const leaseAfterFailure = listcalls.NewsBy + drainGrace + slack + 10*ms
 
-// afterSilence is the same from the end of a watch's wait.
-const afterSilence = 2*time.Second + drainGrace + slack + 10*ms
+// leaseAfterWatch is longer than the list may be used after the end of a watch's wait.
+const leaseAfterWatch = 2*time.Second + drainGrace + slack + 10*ms
 
-// Guards against requests that are forwarded by a list so old that changes count as notified which it lacks,
-// because calls for the list came too late, were never answered, or the reducer's timers were late.
+// TestOutdatedListIsNotUsed checks that no request is forwarded by a list that may lack changes which
+// count as notified. That happens if calls for the list come too late or are never answered, or if the
+// reducer's timers are late.
 func TestOutdatedListIsNotUsed(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		play func(*outage) // up to the moment from which on nothing may be forwarded
+		run  func(*outageTest) // up to the time from which on nothing may be forwarded
 	}{
-		{"calls fail, then the service is silent towards this proxy", func(o *outage) {
+		{"calls fail, then the service is silent towards this proxy", func(o *outageTest) {
 			o.failTwice()
-			o.control(2 * time.Second)
-			o.pass(afterNews - 2*time.Second)
+			o.checkForwarded(2 * time.Second)
+			o.advance(leaseAfterFailure - 2*time.Second)
 		}},
-		{"calls fail, then timers are late", func(o *outage) {
+		{"calls fail, then timers are late", func(o *outageTest) {
 			o.failTwice()
-			o.jump(afterNews)
+			o.skip(leaseAfterFailure)
 		}},
-		{"calls fail, timers are late, a connection to the server is idle", func(o *outage) {
+		{"calls fail, timers are late, a connection to the server is idle", func(o *outageTest) {
 			o.failTwice()
-			o.jump(afterNews - 500*ms) // the connection is used again in time, but closed by no timer
+			o.skip(leaseAfterFailure - 500*ms) // the connection is reused in time, and closed by no timer
 			o.request()
-			o.jump(500 * ms)
+			o.skip(500 * ms)
 		}},
-		{"calls fail, the connection for a request comes up too late", func(o *outage) {
+		{"calls fail, the connection for a request comes up too late", func(o *outageTest) {
 			o.failTwice()
-			o.jump(afterNews - 900*ms)
-			o.holds = true
+			o.skip(leaseAfterFailure - 900*ms)
+			o.delayDials = true
 			o.request()
-			o.jump(900 * ms)
+			o.skip(900 * ms)
 			before := o.forwards
-			for _, leg := range o.dials {
-				o.step(ServerDialed{Conn: leg, OK: true})
+			for _, conn := range o.delayedDials {
+				o.step(ServerDialed{Conn: conn, OK: true})
 			}
-			o.holds = false
+			o.delayDials = false
 			if o.forwards != before {
 				o.Error("forwarded once its connection came up")
 			}
 		}},
-		{"a watch is silent", func(o *outage) {
-			o.control(2 * time.Second)
-			o.pass(o.began + o.wait + afterSilence - o.now)
+		{"a watch is silent", func(o *outageTest) {
+			o.checkForwarded(2 * time.Second)
+			o.advance(o.callStart + o.wait + leaseAfterWatch - o.now)
 		}},
-		{"a watch is silent, timers are late", func(o *outage) {
-			o.jump(o.wait + afterSilence)
+		{"a watch is silent, timers are late", func(o *outageTest) {
+			o.skip(o.wait + leaseAfterWatch)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			o := newHeard(t, 4)
-			tc.play(o)
-			o.refused()
+			o := newUpdatedOutageTest(t, 4)
+			tc.run(o)
+			o.checkNotForwarded()
 		})
 	}
 	t.Run("a new process whose calls are never answered", func(t *testing.T) {
-		o := newOutage(t, 4)
-		o.pass(max(afterNews, o.began+o.wait+afterSilence-o.now))
-		o.refused()
+		o := newOutageTest(t, 4)
+		o.advance(max(leaseAfterFailure, o.callStart+o.wait+leaseAfterWatch-o.now))
+		o.checkNotForwarded()
 	})
 }
 
-// control holds that requests are forwarded up to a moment, so that what follows shows the list's age.
-func (o *outage) control(until time.Duration) {
+// checkForwarded checks that requests are forwarded up to a point in time, so that later rejections are
+// due to the age of the list.
+func (o *outageTest) checkForwarded(duration time.Duration) {
 	o.Helper()
-	o.pass(until)
+	o.advance(duration)
 	if o.request() != 1 {
-		o.Errorf("not forwarded at %v, by a list that may be used", until)
+		o.Errorf("not forwarded at %v, by a list that may be used", duration)
 	}
 }
 
-// refused holds that nothing is forwarded now and later, until the list service has answered.
-func (o *outage) refused() {
+// checkNotForwarded checks that nothing is forwarded now and later, until the list service has
+// answered.
+func (o *outageTest) checkNotForwarded() {
 	o.Helper()
-	for _, later := range []time.Duration{0, 100 * ms, 5 * time.Second, time.Minute} {
-		o.pass(later)
+	for _, delay := range []time.Duration{0, 100 * ms, 5 * time.Second, time.Minute} {
+		o.advance(delay)
 		if o.request() != 0 {
-			o.Errorf("forwarded %v later, by an outdated list", later)
+			o.Errorf("forwarded %v later, by an outdated list", delay)
 		}
 	}
-	if !o.out {
-		o.Fatal("no call for the list is out")
+	if !o.callPending {
+		o.Fatal("no call for the list is open")
 	}
-	o.answer()
+	o.answerCall()
 	if o.request() != 1 {
 		o.Error("not forwarded once the list service has answered")
 	}
 }
 
-// Guards against a proxy that stops serving because the list service is out of reach: as long as calls fail,
-// nothing counts as notified, and requests are forwarded by the list that there is.
+// TestListServesThroughOutage checks that a proxy goes on serving while the list service is
+// unreachable: as long as calls fail, nothing counts as notified, and requests are forwarded by the
+// existing list.
 func TestListServesThroughOutage(t *testing.T) {
 	for _, tc := range []struct {
-		fleet int
-		takes time.Duration // a call, to fail
+		fleet    int
+		callTime time.Duration // until a call fails
 	}{{1, ms}, {24, ms}, {25, ms}, {83, ms}, {300, ms}, {900, ms}, {1, 2 * time.Second}, {24, 2 * time.Second}} {
-		o := newHeard(t, tc.fleet)
-		o.fail()
-		end, refused := o.now+time.Minute, 0
-		for at := o.now; o.now < end; o.pass(10 * ms) {
-			if o.out && o.now-o.began >= tc.takes {
-				o.fail()
+		o := newUpdatedOutageTest(t, tc.fleet)
+		o.failCall()
+		end, notForwarded := o.now+time.Minute, 0
+		for lastRequest := o.now; o.now < end; o.advance(10 * ms) {
+			if o.callPending && o.now-o.callStart >= tc.callTime {
+				o.failCall()
 			}
-			if o.now-at < 250*ms {
+			if o.now-lastRequest < 250*ms {
 				continue
 			}
-			if at = o.now; o.request() != 1 {
-				refused++
+			if lastRequest = o.now; o.request() != 1 {
+				notForwarded++
 			}
 		}
-		if refused > 0 {
-			t.Errorf("%d proxies, calls fail after %v: %d of 240 requests not forwarded", tc.fleet, tc.takes,
-				refused)
+		if notForwarded > 0 {
+			t.Errorf("%d proxies, calls fail after %v: %d of 240 requests not forwarded", tc.fleet, tc.callTime,
+				notForwarded)
 		}
 	}
 }
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -8,55 +8,57 @@
 	lg "lilacglade"
 )
 
-// TestRetune covers new settings under open requests: a request keeps the attempts and the effect that
-// it began with, also when its class is dropped or changed; one that begins later goes by the new ones.
+// TestRetune covers new settings while requests are open. A request keeps the number of attempts and
+// the effect with which it began, even if its class is dropped or changed; a later one follows the new
+// settings.
 func TestRetune(t *testing.T) {
 	m := newModel(t)
-	for _, leg := range []ConnID{1, 2} {
-		m.callers[leg] = nil
-		m.step(ClientOpened{leg})
+	for _, client := range []ConnID{1, 2} {
+		m.clients[client] = nil
+		m.step(ClientOpened{client})
 	}
-	m.ask(1, 1)
+	m.sendRequest(1, 1)
 	old := m.s.cfg.Settings
-	set := old
-	set.MaxAttempts = 1
-	set.Classes = []lg.Class{{Name: "new", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5}, old.Classes[0]}
-	set.Classes[1].Effect = lg.Safe
-	set = set.After(old)
-	m.step(Reloaded{Settings: &set, MaxClients: 12, MaxServerConns: 8})
-	c := m.s.cfg.Settings.Classes
-	if set.Offered != 2 || len(c) != 4 || c[2] != old.Classes[0] || c[3] != old.Classes[1] {
-		t.Fatalf("classes %+v", c)
+	settings := old
+	settings.MaxAttempts = 1
+	settings.Classes = []lg.Class{{Name: "new", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5}, old.Classes[0]}
+	settings.Classes[1].Effect = lg.Safe
+	settings = settings.After(old)
+	m.step(Reloaded{Settings: &settings, MaxClients: 12, MaxServerConns: 8})
+	classes := m.s.cfg.Settings.Classes
+	if settings.Offered != 2 || len(classes) != 4 || classes[2] != old.Classes[0] ||
+		classes[3] != old.Classes[1] {
+		t.Fatalf("classes %+v", classes)
 	}
-	refused := func(leg ConnID) int { // how often it is tried before it is refused
+	attempts := func(client ConnID) int { // how often it is sent before it is rejected
 		for n := 0; ; n++ {
-			var hop ConnID
-			for id, h := range m.hops {
-				if h.open = true; h.busy == nil {
+			var conn ConnID
+			for id, serverConn := range m.serverConns {
+				if serverConn.open = true; serverConn.req == nil {
 					m.step(ServerDialed{Conn: id, OK: true})
 				}
-				if h.busy != nil && h.busy.leg == leg {
-					hop = id
+				if serverConn.req != nil && serverConn.req.conn == client {
+					conn = id
 				}
 			}
-			if hop == 0 {
+			if conn == 0 {
 				return n
 			}
-			m.step(RequestWritten{Conn: hop, OK: true})
-			m.end(hop, lg.Full, true)
+			m.step(RequestWritten{Conn: conn, OK: true})
+			m.endExchange(conn, lg.Full, true)
 		}
 	}
-	if n := refused(1); n < 2 || m.calls[0].verdict != Rejected {
-		t.Errorf("the old request was tried %d times", n)
+	if n := attempts(1); n < 2 || m.requests[0].verdict != Rejected {
+		t.Errorf("the old request had %d attempts", n)
 	}
-	m.ask(2, 0)
-	if n := refused(2); n != 1 || m.calls[1].verdict != Rejected {
-		t.Errorf("the new request was tried %d times", n)
+	m.sendRequest(2, 0)
+	if n := attempts(2); n != 1 || m.requests[1].verdict != Rejected {
+		t.Errorf("the new request had %d attempts", n)
 	}
-	m.pass(publishInterval)
+	m.advance(publishInterval)
 	var names []string
-	for _, h := range m.figures.Handled {
-		names = append(names, fmt.Sprint(h.Class, h.Dropped))
+	for _, counts := range m.metrics.Handled {
+		names = append(names, fmt.Sprint(counts.Class, counts.Dropped))
 	}
 	if want := []string{"edit0", "upload1", "new1"}; !slices.Equal(names, want) {
 		t.Errorf("counted %v, want %v", names, want)
--- a/internal/reducer/sendchecks_test.go
+++ b/internal/reducer/sendchecks_test.go
@@ -8,13 +8,13 @@
 	"lilacglade/internal/sendguard"
 )
 
-// stubborn is a decider that sends a request to the given servers in turn, whatever became of it.
-type stubborn struct {
+// fixedDecider is a decider that sends a request to the given servers in turn, whatever the results.
+type fixedDecider struct {
 	servers []lg.ServerID
 	sent    int
 }
 
-func (d *stubborn) Handle(_ time.Duration, ev lg.Event) []lg.Action {
+func (d *fixedDecider) Handle(_ time.Duration, ev lg.Event) []lg.Action {
 	var id lg.RequestID
 	switch ev := ev.(type) {
 	case lg.Request:
@@ -33,18 +33,18 @@
 	return []lg.Action{{Do: lg.Send, Request: id, Server: d.servers[d.sent-1]}}
 }
 
-// guarded is a proxy whose decider errs, and what it sends and answers.
-type guarded struct {
+// sendCheckTest drives a proxy whose decider errs, and records what it sends and answers.
+type sendCheckTest struct {
 	*testing.T
 	s        *State
 	now      time.Duration
 	forwards []lg.ServerID
 	verdicts []Verdict
-	last     ConnID // that was written to
+	lastConn ConnID // the connection of the last Forward
 }
 
-// step takes an event; whatever is dialed comes up, and what is forwarded is written.
-func (g *guarded) step(ev Event) {
+// step takes an event; whatever is dialed opens, and what is forwarded is written.
+func (g *sendCheckTest) step(ev Event) {
 	g.now += ms
 	events := []Event{ev}
 	for len(events) > 0 {
@@ -54,7 +54,7 @@
 			case Dial:
 				next = append(next, ServerDialed{Conn: e.Conn, OK: true})
 			case Forward:
-				g.forwards, g.last = append(g.forwards, g.s.serverConns[e.Conn].Hop.ID), e.Conn
+				g.forwards, g.lastConn = append(g.forwards, g.s.serverConns[e.Conn].Hop.ID), e.Conn
 				next = append(next, RequestWritten{Conn: e.Conn, OK: true})
 			case AnswerClient:
 				g.verdicts = append(g.verdicts, e.Verdict)
@@ -64,39 +64,40 @@
 	}
 }
 
-// TestGuard holds that no decision, however wrong, has the proxy break a rule, and that it is counted.
-func TestGuard(t *testing.T) {
+// TestSendChecks checks that no decision, however wrong, makes the proxy break a rule, and that each
+// attempt to do so is counted.
+func TestSendChecks(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		class    lg.Class
 		servers  []lg.ServerID
-		between  func(*guarded) // the first attempt and its end
+		between  func(*sendCheckTest) // runs between the first attempt and its end
 		forwards int
 		rule     sendguard.Rule
 		verdict  Verdict
 	}{
-		{"unsafe, once more", lg.Class{Effect: lg.Unsafe}, []lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Failed},
+		{"unsafe, repeated", lg.Class{Effect: lg.Unsafe}, []lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Failed},
 		{"keyed, in its zone", lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second},
 			[]lg.ServerID{1, 3}, nil, 2, sendguard.None, Failed},
-		{"keyed, in its zone, whose first server is listed no more",
+		{"keyed, in its zone, first server no longer listed",
 			lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second}, []lg.ServerID{1, 3},
-			func(g *guarded) { g.step(listOf(lg.Changes, lg.Gone, 1)) }, 2, sendguard.None, Failed},
+			func(g *sendCheckTest) { g.step(listOf(lg.Changes, lg.Gone, 1)) }, 2, sendguard.None, Failed},
 		{"keyed, in another zone", lg.Class{Effect: lg.Keyed, Group: lg.GroupZone, Memory: time.Second},
 			[]lg.ServerID{1, 2}, nil, 1, sendguard.Repeated, Failed},
 		{"keyed, after its window", lg.Class{Effect: lg.Keyed, Memory: 10 * ms}, []lg.ServerID{1, 2},
-			func(g *guarded) { g.now += 20 * ms }, 1, sendguard.Repeated, Failed},
+			func(g *sendCheckTest) { g.now += 20 * ms }, 1, sendguard.Repeated, Failed},
 		{"safe, any number of times", lg.Class{Effect: lg.Safe}, []lg.ServerID{1, 2, 3}, nil, 3, sendguard.None,
 			Failed},
 	} {
 		tc.class.Aim, tc.class.Deadline, tc.class.Worth = time.Second, time.Second, 1
 		cfg := testConfig()
 		cfg.Settings.Classes = []lg.Class{tc.class}
-		cfg.Decider = &stubborn{servers: tc.servers}
+		cfg.Decider = &fixedDecider{servers: tc.servers}
 		s, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &guarded{T: t, s: s, now: time.Hour}
+		g := &sendCheckTest{T: t, s: s, now: time.Hour}
 		list := lg.List{Kind: lg.FullList}
 		for id := lg.ServerID(1); id <= 3; id++ {
 			list.Servers = append(list.Servers, lg.Server{ID: id, Zone: int(id) % 2, Weight: 1})
@@ -108,7 +109,7 @@
 			if tc.between != nil {
 				tc.between(g)
 			}
-			g.step(ServerClosed{Conn: g.last})
+			g.step(ServerClosed{Conn: g.lastConn})
 		}
 		if len(g.forwards) != tc.forwards {
 			t.Errorf("%s: sent to %v, want %d times", tc.name, g.forwards, tc.forwards)
@@ -126,13 +127,13 @@
 	}
 }
 
-// TestUnsent holds that an attempt of which nothing was written is decided anew while its client waits, and
-// forgotten once it has left.
-func TestUnsent(t *testing.T) {
-	for _, left := range []bool{false, true} {
+// TestRequestUnsent checks that an attempt of which nothing was written gets another connection while
+// its client waits, and is dropped once the client has left.
+func TestRequestUnsent(t *testing.T) {
+	for _, clientLeft := range []bool{false, true} {
 		cfg := testConfig()
 		cfg.Settings.Classes = []lg.Class{{Effect: lg.Unsafe, Aim: time.Second, Deadline: time.Second, Worth: 1}}
-		cfg.Decider = &stubborn{servers: []lg.ServerID{1}}
+		cfg.Decider = &fixedDecider{servers: []lg.ServerID{1}}
 		s, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -152,15 +153,15 @@
 			t.Fatalf("sent %d times", n)
 		}
 		want := 1
-		if left {
+		if clientLeft {
 			forwards(ClientClosed{Conn: 1})
 			want = 0
 		}
 		if n := forwards(RequestUnsent{Conn: 1}); n != want {
-			t.Errorf("left %t: sent %d times more, want %d", left, n, want)
+			t.Errorf("client left %t: sent %d more times, want %d", clientLeft, n, want)
 		}
-		if _, open := s.openNames["r"]; open == left {
-			t.Errorf("left %t: remembered %t", left, open)
+		if _, open := s.openNames["r"]; open == clientLeft {
+			t.Errorf("client left %t: request open %t", clientLeft, open)
 		}
 	}
 }
--- a/internal/reducer/streams_test.go
+++ b/internal/reducer/streams_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// TestStreamTimeCountsFromItsLastByte guards against giving up on a request while it comes in, and
-// against never giving up on it; and its attempt's latency must not count how long the caller took.
-func TestStreamTimeCountsFromItsLastByte(t *testing.T) {
+// TestStreamTimeoutCountsFromLastByte checks that a streamed request does not time out while it
+// arrives, but does after its last byte. The latency of its attempt must not include the time that the
+// client took, either.
+func TestStreamTimeoutCountsFromLastByte(t *testing.T) {
 	m := newModel(t)
-	m.callers[1] = nil
+	m.clients[1] = nil
 	m.step(ClientOpened{1})
-	m.stream(1, 0)
-	m.hops[1].open = true
+	m.sendStream(1, 0)
+	m.serverConns[1].open = true
 	m.step(ServerDialed{Conn: 1, OK: true})
-	c := m.calls[0]
+	req := m.requests[0]
 	for range 20 {
-		m.pass(time.Second)
+		m.advance(time.Second)
 	}
-	if c.answers > 0 {
-		t.Fatal("given up while it came in")
+	if req.answers > 0 {
+		t.Fatal("timed out while it arrived")
 	}
-	m.finishes(c)
+	m.completeBody(req)
 	m.step(RequestWritten{Conn: 1, OK: true, BodyConsumed: true})
-	m.pass(800*ms - answerMargin - ms)
-	if c.answers > 0 {
-		t.Fatal("given up too early")
+	m.advance(800*ms - answerMargin - ms)
+	if req.answers > 0 {
+		t.Fatal("timed out too early")
 	}
-	if m.pass(2 * ms); c.answers != 1 || c.verdict != DeadlineExceeded {
-		t.Errorf("%d answers, verdict %d", c.answers, c.verdict)
+	if m.advance(2 * ms); req.answers != 1 || req.verdict != DeadlineExceeded {
+		t.Errorf("%d answers, verdict %d", req.answers, req.verdict)
 	}
 }
