--- a/internal/reducer/clients.go
+++ b/internal/reducer/clients.go
@@ -22,11 +22,11 @@
 	client.phase, client.since, client.idleCheck = clientReading, since, false
 }
 
-// clientOpened adds a client connection. From half of MaxClients on, it makes headroom by evicting the
-// connection that is needed least; at the limit, with all of them busy, the new one's request is
-// rejected. Otherwise clients that send one request and keep their connections would block others:
-// where clients are limited in connections themselves, idle ones would leave them none for requests,
-// long before the proxy reaches its own limit.
+// clientOpened adds a client connection. From half of MaxClients on, the connection that is needed least
+// is evicted for it; at the limit, with all of them busy, the new one's request is rejected. Otherwise
+// clients that send one request and keep their connections would block others: where clients are limited
+// in connections themselves, idle ones would leave them none for requests, long before the proxy reaches
+// its own limit.
 func (s *State) clientOpened(id ConnID) {
 	client := &clientConn{id: id}
 	if 2*len(s.clients) >= s.cfg.MaxClients {
