--- a/api.go
+++ b/api.go
@@ -1,45 +1,47 @@
-// Package lilacglade makes the decisions of a reverse proxy that spreads
-// requests over HTTP servers: which server, for how long, whether to try again,
-// to refuse or to fail.
+// Package lilacglade is the decision module of a reverse proxy that distributes requests over HTTP
+// servers. It selects the server and the timeout of each attempt, and decides whether to retry,
+// shed or fail a request.
 //
-// A proxy creates one Balancer, hands it every Event as it happens together with
-// the time, and carries out the Actions that come back, in their order. A Balancer
-// does no I/O, has no clock and starts no goroutine; it is not safe for concurrent
-// use, so one goroutine owns it. The same events give the same actions.
+// A proxy creates one Balancer, passes it every Event with the time at which it happened, and
+// carries out the returned Actions in order. A Balancer does no I/O, has no clock and starts no
+// goroutine. It is not safe for concurrent use, so one goroutine owns it. It is deterministic: the
+// same events give the same actions.
 //
-// Events that break the contract do no harm: a Request of an unknown class is failed at once, one
-// with an id still in use is ignored, and so are outcomes, timers and departures of requests that
-// have ended, outcomes of attempts that are not out, and events of servers not listed. Bodies and
-// lists handed over are not kept. The slice of actions is used again by the next call.
+// Events that break the contract are harmless. A Request of an unknown class fails at once, and one
+// with an id that is in use is ignored. So are outcomes, timers and departures of requests that
+// have ended, outcomes of attempts that are not outstanding, and events of servers that are not
+// listed. A Balancer keeps no reference to message bodies and lists passed to it. The returned
+// slice of actions is reused by the next call.
 //
-// Deliver a Request when it has been read, its Outcome when an attempt ends (time-outs included:
-// one that reaches the client's time is reported TimedOut), and a List whenever the list of servers
-// changes or a call for it fails. Until its one final answer a request without attempts is held.
+// Deliver a Request once it has been read, its Outcome when an attempt ends (timeouts included: an
+// attempt that reaches the client's deadline is reported as TimedOut), and a List whenever the
+// server list changes or a call for it fails. A request without an outstanding attempt is held
+// until its one final answer.
 //
-// Times are durations on the proxy's own clock, which may start anywhere and never
-// goes back. The Balancer keeps memory for each request until it has ended and its
-// attempts have come back, and for each server while the list names it.
+// Times are durations on the proxy's own clock, which may start anywhere and never goes back. The
+// Balancer keeps memory for each request until it has been answered and its attempts have ended,
+// and for each server while it is listed.
 package lilacglade
 
 import "time"
 
-// ServerID names a server. It is the same at every proxy and says nothing else.
+// ServerID identifies a server. It is the same at every proxy and carries no other information.
 type ServerID uint64
 
-// RequestID names a request. Ids are never used twice.
+// RequestID identifies a request. IDs are never reused.
 type RequestID uint64
 
-// Effect says whether a request of a class may run more than once.
+// Effect classifies requests by whether they may run more than once.
 type Effect uint8
 
-// The kinds of effect.
+// The effects of a request.
 const (
 	Safe   Effect = iota // may be repeated and refused freely
-	Keyed                // a Group of servers drops repeats for the class's Memory
+	Keyed                // a Group of servers drops repeats within the class's Memory
 	Unsafe               // must never run twice
 )
 
-// Group says which servers share the knowledge of a keyed request's repeats.
+// Group is the set of servers that share the deduplication state of a keyed request.
 type Group uint8
 
 // The groups.
@@ -49,29 +51,29 @@
 	GroupCell
 )
 
-// Class is a class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name      string
-	Aim       time.Duration // an answer within it earns the full worth
-	Deadline  time.Duration // how long a client waits over all its tries
+	Aim       time.Duration // target latency: an answer within it earns the full Worth
+	Deadline  time.Duration // total time that a client waits, over all its attempts
 	Worth     float64
-	LateWorth float64 // part of the worth that an answer after the aim earns
+	LateWorth float64 // fraction of Worth that an answer after Aim earns
 	Effect    Effect
-	Group     Group         // for Keyed
-	Memory    time.Duration // for Keyed: how long the group drops repeats
+	Group     Group         // only for Keyed
+	Memory    time.Duration // only for Keyed: how long the group drops repeats
 	Stream    bool
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
 	Name      string
-	Allowance float64 // requests a second over all proxies that count in full
+	Allowance float64 // requests per second, over all proxies, that count in full
 }
 
-// LoadField names a value of a load report.
+// LoadField identifies a value of a load report.
 type LoadField uint8
 
-// The load fields that the Balancer knows; it skips LoadOther.
+// The load fields that the Balancer knows. It ignores LoadOther.
 const (
 	LoadOther LoadField = iota
 	LoadInFlight
@@ -82,34 +84,36 @@
 	LoadErrors
 )
 
-// Settings is what a Balancer knows from its start on.
+// Settings configures a Balancer.
 type Settings struct {
-	Me, Balancers  int // this proxy's number, and how many there are
-	Zone, Zones    int
-	Classes        []Class
-	Offered        int // so many of Classes are offered, the rest only what has begun has; 0: all
+	Me, Balancers int // index of this proxy, and the number of proxies
+	Zone, Zones   int
+	Classes       []Class
+	// Number of Classes that are offered to new requests. The remaining classes serve only requests
+	// that have already begun. 0 means all.
+	Offered        int
 	Tenants        []Tenant
 	Report         []LoadField // order of the values in a LoadReport
-	WorthByWork    bool        // worth is counted for each unit of work, not for each request
-	OverShareWorth float64     // worth of what a tenant sends beyond its allowance, as a part
-	CrossZonePrice float64     // points for an attempt that leaves the zone
-	HeldPrice      float64     // points for a mean of 100 connections held to each server
-	AskForList     bool        // the list comes only when asked for with Subscribe
+	WorthByWork    bool        // Worth counts per unit of work instead of per request
+	OverShareWorth float64     // fraction of the worth that requests beyond a tenant's allowance have
+	CrossZonePrice float64     // points per attempt that leaves the zone
+	HeldPrice      float64     // points per 100 connections held to each server, on average
+	AskForList     bool        // the list is only sent in response to Subscribe
 	AskEvery       time.Duration
 	MaxAttempts    int
-	SecondCopies   bool // two attempts of one request may be out at once
+	SecondCopies   bool // a request may have two attempts in flight at once
 	Cancel         bool
-	MaxRetryAfter  time.Duration // longest advice that clients heed; 0 when they get none
+	MaxRetryAfter  time.Duration // longest Retry-After that clients honor; 0 if none is sent
 	ConnectTimeout time.Duration
-	ColdShare      float64       // part of its capacity that a fresh server has at least
-	WarmWithin     time.Duration // and the time by which it has all of it
-	TipMultiple    float64       // a cold server sent more than this multiple of its capacity
-	TipWindow      time.Duration // for this long falls over
+	ColdShare      float64       // minimum fraction of its capacity that a server in slow start has
+	WarmWithin     time.Duration // duration of slow start, after which it has all of it
+	TipMultiple    float64       // a server in slow start that is sent more than this multiple
+	TipWindow      time.Duration // of its capacity over this window collapses
 	DrainGrace     time.Duration
 	AnswerSlack    time.Duration
 }
 
-// State is what the list says of a server.
+// State is the listed state of a server.
 type State uint8
 
 // The states of a server.
@@ -119,26 +123,26 @@
 	Gone
 )
 
-// Server is one line of the list of servers.
+// Server is an entry of the server list.
 type Server struct {
 	ID         ServerID
 	Zone, Cell int
-	Kind       int // servers of one kind are expected to be about as fast for their weight
+	Kind       int // servers of one kind are expected to have similar speed per weight
 	State      State
 	Weight     float64       // listed size; 0 counts as 1
-	Started    time.Duration // when it last started, on the proxy's clock; 0 is long ago
+	Started    time.Duration // start of the process on the proxy's clock; 0 if long ago
 }
 
-// LoadReport is what a server says of its load, in the order of Settings.Report.
+// LoadReport is the load that a server reports, in the order of Settings.Report.
 type LoadReport struct {
-	N      int // values present; 0 when there was no report
+	N      int // number of values present; 0 without a report
 	Values [4]float64
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result uint8
 
-// The results. NeverRan tells which of them prove that the attempt did not run.
+// The results. NeverRan reports which of them prove that the attempt did not run.
 const (
 	OK Result = iota
 	ServerError
@@ -148,14 +152,14 @@
 	Reset
 	Canceled
 	Moot
-	LocalFault // this machine could not open a connection to any server just then: none is to blame
+	LocalFault // no connection to any server could be opened, for a local reason
 )
 
 var resultNames = [...]string{OK: "ok", ServerError: "error", Full: "full", TimedOut: "late",
 	ConnectFailed: "noconn", Reset: "reset", Canceled: "canceled", Moot: "moot",
 	LocalFault: "local"}
 
-// String is the result's name in logs and figures.
+// String returns the result's name in logs and metrics.
 func (r Result) String() string { return resultNames[r] }
 
 // NeverRan reports whether r proves that the attempt never ran.
@@ -163,21 +167,21 @@
 	return r == Full || r == ConnectFailed || r == Moot || r == LocalFault
 }
 
-// Event is something that happened at the proxy: a Request, Outcome, AnswerStarted,
-// Departed, Timer, List, ListLease, ProbeResult or PeerMessage.
+// Event is an input of the Balancer: a Request, Outcome, AnswerStarted, Departed, Timer, List,
+// ListLease, ProbeResult or PeerMessage.
 type Event interface{ event() }
 
-// Request is a client's request. The Balancer owes it one final answer within Budget.
+// Request is a client's request. The Balancer gives it one final answer within Budget.
 type Request struct {
 	ID     RequestID
 	Class  int // index into Settings.Classes
 	Tenant int // index into Settings.Tenants
 	Key    uint64
 	HasKey bool
-	Budget time.Duration // time left before the client gives up
-	Cost   time.Duration // expected work on a standard core; 0 when unknown
+	Budget time.Duration // time until the client gives up
+	Cost   time.Duration // expected work on a standard core; 0 if unknown
 	Repeat bool          // marked by the client as a repeat
-	Stream bool          // its bytes are passed on as they come in: it may not be there to be sent again
+	Stream bool          // the body is streamed and may not be available for a retry
 }
 
 // Outcome ends an attempt. Each Send gets exactly one.
@@ -186,47 +190,48 @@
 	Attempt int // 0 for the request's first Send, then 1, 2, ...
 	Server  ServerID
 	Result  Result
-	Closed  bool // the request has had its final answer, by this outcome or before
+	Closed  bool // the request has had its final answer, from this outcome or earlier
 	Latency time.Duration
 	Load    LoadReport
-	Gone    bool // the request's bytes are not there any more: it can't be sent again
+	Gone    bool // the request body is no longer available, so no retry is possible
 }
 
-// AnswerStarted says that a streamed answer has begun: the request has no deadline now.
+// AnswerStarted reports the start of a streamed answer. The request has no deadline any more.
 type AnswerStarted struct {
 	Request RequestID
 	Attempt int
 	Server  ServerID
 }
 
-// Departed says that the client has gone: no answer is owed any more.
+// Departed reports that the client has gone and that the request needs no answer.
 type Departed struct{ Request RequestID }
 
-// Timer is due, as asked for with SetTimer.
+// Timer reports the expiry of a timer set with SetTimer.
 type Timer struct{ Token uint32 }
 
-// ListKind says what a List holds.
+// ListKind is the kind of a List.
 type ListKind uint8
 
 // The kinds of list.
 const (
-	Changes    ListKind = iota // only what has changed
-	FullList                   // everything; a server that is missing is gone
-	CachedList                 // everything as last known, maybe outdated
-	ListFailed                 // a call failed or the subscription broke; nothing is listed
+	Changes    ListKind = iota // only the servers that changed
+	FullList                   // all servers; a known server that is missing is gone
+	CachedList                 // all servers as last known, possibly outdated
+	ListFailed                 // a call failed or the subscription broke; Servers is empty
 )
 
-// List brings news of the servers. Servers is read during Handle only.
+// List is an update of the server list. Servers is only read during Handle.
 type List struct {
 	Kind    ListKind
 	Servers []Server
 }
 
-// ListLease says whether the list may be used: where it has expired, what changed since may count as notified
-// though no call brought it, and nothing new may be sent until it holds again. It holds from the start.
+// ListLease reports whether the server list may be used. After the lease has expired, later changes
+// may count as notified although no call delivered them, so nothing may be sent until the lease is
+// valid again. It is valid at the start.
 type ListLease struct{ Expired bool }
 
-// ProbeResult is the end of a probe.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Server  ServerID
 	Result  Result
@@ -234,7 +239,7 @@
 	Load    LoadReport
 }
 
-// PeerMessage came from another proxy.
+// PeerMessage is a message from another proxy.
 type PeerMessage struct {
 	From int
 	Body []byte
@@ -250,26 +255,26 @@
 func (ProbeResult) event()   {}
 func (PeerMessage) event()   {}
 
-// Do says what an Action asks for.
+// Do is the kind of an Action.
 type Do uint8
 
 // The actions.
 const (
-	Send      Do = iota // send Request to Server, giving up after For (0: when the client does)
-	Refuse              // final answer: not done, try again; For is advice when to (0: none)
-	Fail                // final answer: no promise whether it ran
+	Send      Do = iota // send Request to Server and give up after For (0: when the client does)
+	Refuse              // final answer: not done, may be retried; For is the advised delay (0: none)
+	Fail                // final answer: the request may or may not have run
 	SetTimer            // deliver Timer{Token} after For
-	Subscribe           // ask for the list's changes from here on; a List answers
-	Log                 // a line for the operator
+	Subscribe           // subscribe to changes of the list from now on; a List answers
+	Log                 // a log line for the operator
 )
 
-// Action is something for the proxy to do. Which fields count depends on Do.
+// Action is something that the proxy has to do. The fields in use depend on Do.
 type Action struct {
 	Do      Do
 	Request RequestID
 	Server  ServerID
 	For     time.Duration
-	Within  time.Duration // Send: its first byte is written so soon, or never (ConnectFailed); 0: no matter
+	Within  time.Duration // Send: write the first byte within this time or never (ConnectFailed); 0: no limit
 	Token   uint32
 	Text    string
 }
