--- a/balancer.go
+++ b/balancer.go
@@ -1,8 +1,8 @@
 package lilacglade
 
-// Choosing a server, retrying and refusing are in this file, what attempts say of servers in
-// evidence.go, timers and the list in membership.go; types, events and actions are in api.go, what a
-// Balancer remembers in state.go.
+// This file selects servers, retries and sheds requests. Health and speed of servers are in
+// evidence.go, timers and the server list in membership.go, events and actions in api.go, and the
+// state of a Balancer in state.go.
 
 import (
 	"math"
@@ -11,261 +11,324 @@
 	"time"
 )
 
-// The constants, all dimensionless or plain times of the mechanism itself.
+// Periods.
 const (
-	tick        = 100 * time.Millisecond // means over the fleet are renewed this often
-	interval    = 2 * time.Second        // capacities are refreshed this often, as the design has it
-	staleAfter  = 3 * interval           // a report older than this lowers nothing
-	extraFuncs  = 10                     // f: at a hit in two, all L functions miss once in thousands of keys
-	loadSpan    = 4.0                    // at this multiple of the fleet's mean load, capacity is zero
-	boundOver   = 1.6                    // a server qualifies up to this multiple of the mean wait,
-	boundAim    = 0.3                    // or while it answers within this part of the aim
-	crowd       = 4.0                    // requests for its size that a server may hold
-	hotSpread   = 0.7                    // fair shares of traffic that one key may bring to a server
-	hotMemory   = 0.99                   // of a key's count that is left after a tick
-	zoneWorth   = 0.01                   // what one more zone's servers are worth for spreading load, in points
-	refuseBase  = 0.3                    // expected answer, as a part of the aim, at which the least
-	refuseWorth = 0.55                   // worth is refused, and what the greatest worth adds to it
-	fewProxies  = 4.0                    // up to so many, all of that; of many, two thirds and half
-	lateAim     = 0.1                    // part of its aim with which a request is still in time
-	lateLeast   = 0.01                   // of its worth that counts beyond that, at the least
-	heavyAim    = 1.5                    // times what it takes, over its aim: too heavy for a server
-	leastPart   = 0.5                    // of a server's bound that the least worth may fill
-	leastTaken  = 0.05                   // of the requests that would be refused
-	loadPart    = 0.6                    // part of the mean latency that grows with load
-	speedGain   = 0.01                   // weight of one answer in a server's learned speed
-	kindGain    = 0.003                  // and in the speed of all servers of its kind
-	fitGain     = 0.01                   // weight of one answer in the fleet's fit of latency to load
-	certain     = 4.0                    // evidence that sets a server aside: the logarithm of odds of one in 50
-	lostFails   = 0.8                    // part of the attempts at a lost server that fail
-	soundTries  = 50.0                   // what is held of sound ones at the start: so many attempts,
-	soundFails  = 0.15                   // of which so many failed
-	soundFade   = 0.997                  // left of both counts after an attempt
-	doubtFade   = 10 * time.Second       // in which evidence against a server in use falls to a third
-	classRun    = 2.0                    // and that bar it from a class
-	firstWait   = 500 * time.Millisecond // wait before the first trial of such a server; doubles,
-	longestWait = 16 * time.Second       // up to this
-	trialEvery  = 125 * time.Millisecond // between two proxies' first trials of one server
-	listEvery   = 250 * time.Millisecond // between two proxies' first repeats of a failed call for the list
-	retryShare  = 0.2                    // retries earned by each request, so that load never multiplies
-	retryStock  = 10.0
-	holdFor     = 50 * time.Millisecond // a request that no server may take now is looked at again
-	expiredWait = 0.5                   // part of its aim that a request waits for a list that may be used
-	coldLeast   = 0.6                   // part of the fleet that a cold server's share counts among, at least
-	coldBurst   = 0.5                   // of a tip window, what it may take at once
-	coldDebt    = 2.0                   // what a request that it turned away costs besides, in requests
+	tickInterval     = 100 * time.Millisecond // of updateMeans
+	refreshInterval  = 2 * time.Second        // of refreshCapacities
+	holdInterval     = 50 * time.Millisecond  // until a held request is checked again
+	reportStaleAfter = 3 * refreshInterval    // older load reports do not lower a capacity
+)
+
+// Server selection. Constants without a unit are dimensionless.
+const (
+	// extraHashes is the number of hash functions beyond the logarithm of the number of ranges. Each
+	// hits with probability 1/2, so all of them miss for one key in thousands.
+	extraHashes = 10
+	// maxLoadRatio is the multiple of the fleet's mean load at which the capacity of a server is zero.
+	maxLoadRatio = 4.0
+	// A server qualifies up to maxLatencyOverMean times the mean latency, or while its expected answer
+	// takes at most the fraction maxLatencyOfAim of Aim.
+	maxLatencyOverMean = 1.6
+	maxLatencyOfAim    = 0.3
+
+	maxInFlightPerWeight = 4.0  // requests per unit of weight that a server may have in flight
+	hotKeyFairShares     = 0.7  // fair shares of traffic that one key may send to a server
+	keyCountDecay        = 0.99 // factor on the counters of keys per tick
+	extraZoneWorth       = 0.01 // points that balancing over one more zone of servers is worth
+)
+
+// Load shedding.
+const (
+	// The longest accepted answer is shedBase of the target latency for the least worth, and
+	// shedWorthGain more for the greatest. Up to smallFleet proxies this applies in full; with many,
+	// two thirds of shedBase and half of shedWorthGain.
+	shedBase      = 0.3
+	shedWorthGain = 0.55
+	smallFleet    = 4.0
+
+	lateAimFraction  = 0.1  // fraction of Aim that must be left for a request to be in time
+	minLateWorth     = 0.01 // minimum fraction of its worth that a late request has
+	heavyAimFactor   = 1.5  // a server is too slow for a request that takes Aim divided by this there
+	minLimitFraction = 0.5  // fraction of a concurrency limit that the least worth may use
+	minAcceptance    = 0.05 // minimum probability that a request is not shed
+)
+
+// Estimates of load, work and speed.
+const (
+	loadLatencyFraction = 0.6   // fraction of the mean latency that grows with load
+	speedGain           = 0.01  // weight of one answer in a server's learned speed
+	kindSpeedGain       = 0.003 // weight of one answer in the speed of all servers of its kind
+	regressionGain      = 0.01  // weight of one answer in the estimates over the fleet
+)
+
+// Outlier ejection.
+const (
+	ejectionEvidence = 4.0 // log odds, about 50:1, that a server is lost
+	lostFailureRate  = 0.8 // fraction of the attempts at a lost server that fail
+
+	// The failure rate of healthy servers starts with the counts priorAttempts and priorFailures.
+	// Both counts are multiplied by failureRateDecay per attempt.
+	priorAttempts    = 50.0
+	priorFailures    = 0.15
+	failureRateDecay = 0.997
+
+	evidenceDecayTime  = 10 * time.Second // in which evidence against a server in use falls to 1/e
+	classBlockFailures = 2.0              // failures that block a server for a class
+
+	// The wait before the first probation attempt is minBackoff and doubles up to maxBackoff.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 16 * time.Second
+)
+
+// Retries and waits.
+const (
+	// The first probation attempts of two proxies at one server are spaced by probationSpacing, the
+	// first retries of two proxies' failed list calls by listRetrySpacing.
+	probationSpacing = 125 * time.Millisecond
+	listRetrySpacing = 250 * time.Millisecond
+
+	retriesPerRequest      = 0.2 // retry tokens earned per request, so that retries never multiply load
+	maxRetryTokens         = 10.0
+	expiredListAimFraction = 0.5 // fraction of Aim that a request waits for a valid list lease
+)
+
+// Slow start.
+const (
+	minSlowStartFleet = 0.6 // minimum fraction of the fleet's full capacity that shares arriving work
+	slowStartBurst    = 0.5 // fraction of a TipWindow of work that may be sent at once
+	rejectionCost     = 2.0 // requests that a rejection costs, in addition to the rejected one
 )
 
 // Capacity and load.
 
-// cold gives the part of its capacity that s has at least now, 1 once it is warm.
-func (b *Balancer) cold(s *server) float64 {
+// warmUpFraction returns the fraction of its capacity that s has at least now, 1 after slow start.
+func (b *Balancer) warmUpFraction(s *server) float64 {
 	age := b.now - s.Started
-	if s.Started <= 0 || age >= b.set.WarmWithin {
+	if s.Started <= 0 || age >= b.settings.WarmWithin {
 		return 1
 	}
-	return b.set.ColdShare + (1-b.set.ColdShare)*max(0, age.Seconds())/b.set.WarmWithin.Seconds()
+	return b.settings.ColdShare + (1-b.settings.ColdShare)*max(0, age.Seconds())/b.settings.WarmWithin.Seconds()
 }
 
-// inFlight estimates what s holds. Where nothing is ever reported, own attempts stand for those of all
-// proxies.
+// inFlight estimates the number of requests that s is processing. If no server ever reports its
+// load, this proxy's own attempts are extrapolated to all proxies.
 func (b *Balancer) inFlight(s *server) float64 {
-	if b.reported == 0 {
-		return b.peers * float64(s.load.out)
+	if b.lastReportAt == 0 {
+		return b.proxiesPerServer * float64(s.load.ownInFlight)
 	}
-	return s.load.held(b.others*s.base, b.now)
+	return s.load.estimate(b.meanOthersLoad*s.baseCapacity, b.now)
 }
 
-// slowness is the latency expected of s when it holds that much, against the fleet's mean. What its
-// answers lately took counts besides: load is learned late, and says nothing of a server that runs slow.
-func (b *Balancer) slowness(s *server, held float64) float64 {
-	return s.pace.blend(b.expected(s, held), b.now)
+// relativeLatency returns the latency expected of s at the given in-flight count, relative to the
+// fleet's mean. It also includes the latency of recent answers: load is learned with a delay and
+// does not show a server that runs slowly.
+func (b *Balancer) relativeLatency(s *server, inFlight float64) float64 {
+	return s.latency.blend(b.expectedRelativeLatency(s, inFlight), b.now)
 }
 
-func (b *Balancer) expected(s *server, held float64) float64 {
-	if b.usual == 0 {
+// expectedRelativeLatency returns the relative latency expected of s from its load, speed and
+// warm-up alone.
+func (b *Balancer) expectedRelativeLatency(s *server, inFlight float64) float64 {
+	if b.meanSentLoad == 0 {
 		return 1
 	}
-	return (1 - loadPart + loadPart*held/s.Weight/b.usual) / (s.speed * b.cold(s))
+	return (1 - loadLatencyFraction + loadLatencyFraction*inFlight/s.Weight/b.meanSentLoad) /
+		(s.speed * b.warmUpFraction(s))
 }
 
-// holds is the in-flight count at which slowness expects that latency of s.
-func (b *Balancer) holds(s *server, slow float64) float64 {
-	return s.Weight * b.usual * (slow*s.speed*b.cold(s) - (1 - loadPart)) / loadPart
+// inFlightAtLatency returns the in-flight count at which expectedRelativeLatency returns the given
+// latency.
+func (b *Balancer) inFlightAtLatency(s *server, latency float64) float64 {
+	return s.Weight * b.meanSentLoad * (latency*s.speed*b.warmUpFraction(s) - (1 - loadLatencyFraction)) /
+		loadLatencyFraction
 }
 
-// capacity is what the sieve gives s: its base, lowered by the mean of the in-flight counts that
-// it lately reported. A single one is mostly chance, and would move keys back and forth.
-func (b *Balancer) capacity(s *server) float64 {
-	if s.State != Ready || !s.mine || s.aside && !b.noneUp {
+// effectiveCapacity returns the capacity of s in the sieve: its base capacity, lowered by the mean
+// of its recently reported in-flight counts. A single report is mostly noise and would move keys
+// back and forth.
+func (b *Balancer) effectiveCapacity(s *server) float64 {
+	if s.State != Ready || !s.inSubset || s.ejected && !b.allEjected {
 		return 0
 	}
-	if b.noneUp || !s.reported || b.now-s.load.at > staleAfter || b.meanLoad <= 0 {
-		return s.base
+	if b.allEjected || !s.hasReport || b.now-s.load.reportedAt > reportStaleAfter || b.meanLoad <= 0 {
+		return s.baseCapacity
 	}
-	return s.base * max(0, 1-s.usual/s.base/b.meanLoad/loadSpan)
+	return s.baseCapacity * max(0, 1-s.meanReported/s.baseCapacity/b.meanLoad/maxLoadRatio)
 }
 
-// tally renews the means over the fleet and what is measured out by time.
-func (b *Balancer) tally() {
-	var load, known, others, seen, present, all, slow, size float64
-	for _, s := range b.order {
-		if s.load.pass(tick); s.load.out == 0 {
-			s.bound.idle(tick)
+// updateMeans updates the means over the fleet and refills the slow-start budgets and tenant
+// tokens. It runs every tickInterval and after each list.
+func (b *Balancer) updateMeans() {
+	var inFlightSum, reportedCapacity, othersSum, othersWeight,
+		currentCapacity, fullCapacity, latencySum, capacitySum float64
+	for _, s := range b.sortedServers {
+		if s.load.advance(tickInterval); s.load.ownInFlight == 0 {
+			s.concurrencyLimit.onIdle(tickInterval)
 		}
-		s.base = s.Weight * s.speed * b.cold(s)
-		if s.State == Ready && s.mine && b.near(s) && !(s.aside && b.parted()) {
-			all += s.Weight * s.speed
-			present += s.base
+		s.baseCapacity = s.Weight * s.speed * b.warmUpFraction(s)
+		if s.State == Ready && s.inSubset && b.inPreferredZone(s) && !(s.ejected && b.usesSubset()) {
+			fullCapacity += s.Weight * s.speed
+			currentCapacity += s.baseCapacity
 		}
-		if s.State == Ready && !s.aside {
-			slow += s.base * b.slowness(s, b.inFlight(s))
-			size += s.base
-			if s.reported {
-				load += b.inFlight(s)
-				known += s.base
-				others += s.load.others * s.load.seen
-				seen += s.base * s.load.seen
+		if s.State == Ready && !s.ejected {
+			latencySum += s.baseCapacity * b.relativeLatency(s, b.inFlight(s))
+			capacitySum += s.baseCapacity
+			if s.hasReport {
+				inFlightSum += b.inFlight(s)
+				reportedCapacity += s.baseCapacity
+				othersSum += s.load.othersMean * s.load.othersWeight
+				othersWeight += s.baseCapacity * s.load.othersWeight
 			}
 		}
 	}
-	b.meanSlow = slow / max(size, 1e-9)
-	if known > 0 {
-		b.meanLoad = load / known
-		b.others = others / max(seen, 1e-9)
-	}
-	if b.now-b.reported > interval {
-		// Guards against refusing for ever on the last reports before all was refused.
-		b.meanLoad, b.others = b.meanLoad*0.9, b.others*0.9
-	}
-	b.counted *= hotMemory
-	for i := range b.counts {
-		b.counts[i] *= hotMemory
-	}
-	step := tick.Seconds()
-	// What was turned away may have come before this tick: guards against traffic below nothing.
-	b.arrivals += (max(0, b.arrived)/step - b.arrivals) * step / 3
-	b.arrived = 0
-	b.due = b.due[:0]
-	for _, s := range b.order {
-		rate := b.arrivals / max(present, coldLeast*all, 1e-9) * s.base
-		if !b.near(s) || !s.mine {
-			rate = 0 // its own zone's proxies see to a cold server, those whose part it is of
+	b.meanRelativeLatency = latencySum / max(capacitySum, 1e-9)
+	if reportedCapacity > 0 {
+		b.meanLoad = inFlightSum / reportedCapacity
+		b.meanOthersLoad = othersSum / max(othersWeight, 1e-9)
+	}
+	if b.now-b.lastReportAt > refreshInterval {
+		// Otherwise the proxy sheds forever based on the last reports before it shed everything.
+		b.meanLoad, b.meanOthersLoad = b.meanLoad*0.9, b.meanOthersLoad*0.9
+	}
+	b.keyTotal *= keyCountDecay
+	for i := range b.keyCounts {
+		b.keyCounts[i] *= keyCountDecay
+	}
+	seconds := tickInterval.Seconds()
+	// Rejected requests may have arrived before this tick, so arrivedWork can be negative.
+	b.arrivalRate += (max(0, b.arrivedWork)/seconds - b.arrivalRate) * seconds / 3
+	b.arrivedWork = 0
+	b.slowStartDue = b.slowStartDue[:0]
+	for _, s := range b.sortedServers {
+		rate := b.arrivalRate / max(currentCapacity, minSlowStartFleet*fullCapacity, 1e-9) * s.baseCapacity
+		if !b.inPreferredZone(s) || !s.inSubset {
+			// It gets its traffic from the proxies of its zone whose subset it is in.
+			rate = 0
 		}
-		s.burst = rate * coldBurst * b.set.TipWindow.Seconds()
-		if s.purse = min(s.purse+rate*step, s.burst); s.purse > 0 && b.cold(s) < 1 {
-			b.due = append(b.due, s)
+		s.maxSlowStartBudget = rate * slowStartBurst * b.settings.TipWindow.Seconds()
+		if s.slowStartBudget = min(s.slowStartBudget+rate*seconds, s.maxSlowStartBudget); s.slowStartBudget > 0 &&
+			b.warmUpFraction(s) < 1 {
+			b.slowStartDue = append(b.slowStartDue, s)
 		}
 	}
-	for i, t := range b.set.Tenants {
-		part := t.Allowance / float64(b.set.Balancers)
-		b.tenants[i] = min(b.tenants[i]+part*step, part*interval.Seconds())
+	for i, t := range b.settings.Tenants {
+		tokenRate := t.Allowance / float64(b.settings.Balancers)
+		b.tenantTokens[i] = min(b.tenantTokens[i]+tokenRate*seconds, tokenRate*refreshInterval.Seconds())
 	}
 }
 
-// reshape refreshes every server's capacity; those that shrink go first, to fill the pool.
-func (b *Balancer) reshape() {
-	if b.refused > logAfter && !b.refusing || b.refused == 0 && b.refusing {
-		b.refusing = !b.refusing
-		b.logf("refusing for want of capacity: %t", b.refusing)
+// refreshCapacities recomputes the capacity of every server. Servers that shrink go first, to free
+// ranges.
+func (b *Balancer) refreshCapacities() {
+	if b.shedCount > shedLogThreshold && !b.shedding || b.shedCount == 0 && b.shedding {
+		b.shedding = !b.shedding
+		b.logf("shedding load for lack of capacity: %t", b.shedding)
 	}
-	b.refresh, b.refused = b.now+interval, 0
+	b.nextRefresh, b.shedCount = b.now+refreshInterval, 0
 	ready := 0
-	b.noneUp = true
-	for _, s := range b.order {
+	b.allEjected = true
+	for _, s := range b.sortedServers {
 		if s.State == Ready {
 			ready++
-			b.noneUp = b.noneUp && s.aside
+			b.allEjected = b.allEjected && s.ejected
 		}
 	}
-	b.double(ready)
-	b.portion()
-	b.total = 0
-	for _, s := range b.order {
-		s.d = b.capacity(s)
-		b.total += s.d
+	b.splitRanges(ready)
+	b.selectSubset()
+	b.totalCapacity = 0
+	for _, s := range b.sortedServers {
+		s.capacity = b.effectiveCapacity(s)
+		b.totalCapacity += s.capacity
 	}
 	for _, grow := range []bool{false, true} {
-		for _, s := range b.order {
-			b.fill(s, grow)
+		for _, s := range b.sortedServers {
+			b.adjustRanges(s, grow)
 		}
 	}
 }
 
-// Choosing.
-
-// may tells whether r may be sent to s at all now. What is only to be avoided counts if so asked:
-// a bar from its class, and a server that it has tried and whose connection broke.
-func (b *Balancer) may(s *server, r *request, avoid bool) bool {
-	c := &s.classes[r.Class]
-	barred, tried := c.fails >= classRun && b.now < c.until, slices.Contains(r.tried, s)
-	if s.State != Ready || s.aside && !b.noneUp || tried && !r.broke || avoid && (barred || tried) {
+// Server selection.
+
+// eligible reports whether r may be sent to s now. If strict, it also excludes servers that are
+// merely undesirable: one blocked for r's class, and one that r was already sent to and whose
+// connection broke.
+func (b *Balancer) eligible(s *server, r *request, strict bool) bool {
+	health := &s.classHealth[r.Class]
+	blocked, attempted := health.failures >= classBlockFailures && b.now < health.blockedUntil,
+		slices.Contains(r.attempted, s)
+	if s.State != Ready || s.ejected && !b.allEjected || attempted && !r.connectionBroke ||
+		strict && (blocked || attempted) {
 		return false
 	}
-	// A keyed request that may have run goes only where its repeats are dropped.
-	if r.ran != nil && r.class.Group != GroupAll && r.class.Effect == Keyed &&
-		(s.Zone != r.ran.Zone || r.class.Group == GroupCell && s.Cell != r.ran.Cell) {
+	// A keyed request that may have run goes only to servers that drop its repeats.
+	if r.mayHaveRunOn != nil && r.class.Group != GroupAll && r.class.Effect == Keyed &&
+		(s.Zone != r.mayHaveRunOn.Zone || r.class.Group == GroupCell && s.Cell != r.mayHaveRunOn.Cell) {
 		return false
 	}
-	// Guards against a crowd: what waits behind so many is late, and slows the others down. Own
-	// attempts count, as this proxy's part: they end by themselves, where a report may stay old.
-	if float64(s.load.out)*b.peers >= crowd*s.Weight {
+	// Limit the queue at a server: requests behind a long queue are late and slow the others down.
+	// This proxy's own attempts are scaled by the number of proxies. They end on their own, whereas
+	// a report may stay outdated.
+	if float64(s.load.ownInFlight)*b.proxiesPerServer >= maxInFlightPerWeight*s.Weight {
 		return false
 	}
-	// Guards against queues kept full, which choke a server: the less a request is worth, the more room
-	// is left for the others.
-	if s.bound.most > 0 && !s.bound.leaves(b.inFlight(s)+1, leastPart+(1-leastPart)*r.rank) {
+	// Keep queues from staying full, which chokes a server: the less a request is worth, the more
+	// of the concurrency limit is reserved for others.
+	if s.concurrencyLimit.limit > 0 &&
+		!s.concurrencyLimit.allows(b.inFlight(s)+1, minLimitFraction+(1-minLimitFraction)*r.relativeWorth) {
 		return false
 	}
-	// A cold server takes no more than this proxy's part of what cannot tip it over.
-	return b.cold(s) == 1 || s.purse > 0
+	// A server in slow start gets no more than this proxy's share of what cannot overload it.
+	return b.warmUpFraction(s) == 1 || s.slowStartBudget > 0
 }
 
-// pick walks the key's sequence of owned hits and returns the first server that may take r
-// and is not over its bound; one in the own zone goes first where crossing has its price.
-// After L misses the server with the largest capacity left takes it.
-func (b *Balancer) pick(r *request) *server {
-	bound := max(boundOver*b.meanSlow, boundAim*r.class.Aim.Seconds()/r.work)
-	// Guards against a cold server left idle by a large fleet: a proxy's budget there is less than one
-	// request, and a hit seldom comes while it lasts. So the next request goes there once it is due.
-	for _, s := range b.due {
-		if s.burst < b.waits()*r.work && b.cold(s) < 1 && b.may(s, r, true) &&
-			b.slowness(s, b.inFlight(s)+1) <= bound {
+// selectServer walks the servers that the key hashes to and returns the first one that is eligible
+// for r and within the latency limit, preferring the local zone if leaving it is costly. If every
+// hash function misses, it returns the server with the most capacity left.
+func (b *Balancer) selectServer(r *request) *server {
+	maxLatency := max(maxLatencyOverMean*b.meanRelativeLatency, maxLatencyOfAim*r.class.Aim.Seconds()/r.work)
+	// In a large fleet, a proxy's budget for a server in slow start is less than one request, and a
+	// key seldom maps to it while the budget lasts, so the server would stay idle. So the next
+	// request goes there once the budget is available.
+	for _, s := range b.slowStartDue {
+		if s.maxSlowStartBudget < b.slowStartThreshold()*r.work && b.warmUpFraction(s) < 1 &&
+			b.eligible(s, r, true) && b.relativeLatency(s, b.inFlight(s)+1) <= maxLatency {
 			return s
 		}
 	}
-	// Guards against a hot key swamping the one server it names: it may use as many of its
-	// hits as it has fair shares of this proxy's traffic.
-	skip := int(b.uniform() * b.share(r) * float64(len(b.order)) / hotSpread)
-	var away *server
-	for j := range bits.Len(uint(len(b.ranges))) - 1 + extraFuncs {
-		s := b.hit(j, r.key)
-		if s == nil || s == away || !b.may(s, r, true) || b.slowness(s, b.inFlight(s)+1) > bound {
+	// Spread a hot key, which otherwise overloads the one server it maps to: it may use as many of
+	// its hits as it has fair shares of this proxy's traffic.
+	skip := int(b.uniform() * b.keyShare(r) * float64(len(b.sortedServers)) / hotKeyFairShares)
+	var remote *server
+	for j := range bits.Len(uint(len(b.ranges))) - 1 + extraHashes {
+		s := b.lookup(j, r.key)
+		if s == nil || s == remote || !b.eligible(s, r, true) ||
+			b.relativeLatency(s, b.inFlight(s)+1) > maxLatency {
 			continue
 		}
 		if skip--; skip >= 0 {
 			continue
 		}
-		if b.near(s) {
+		if b.inPreferredZone(s) {
 			return s
 		}
-		if away == nil {
-			away = s
+		if remote == nil {
+			remote = s
 		}
 	}
-	if away != nil {
-		return away
+	if remote != nil {
+		return remote
 	}
 	var best *server
-	for pass := range 3 { // servers beyond its part, and those to be avoided, are better than none
-		most, avoid := math.Inf(-1), pass < 2
-		for _, s := range b.order {
-			if pass == 0 && !s.mine {
+	// Servers outside the subset are better than none, and finally those that strict excludes.
+	for pass := range 3 {
+		bestCapacity, strict := math.Inf(-1), pass < 2
+		for _, s := range b.sortedServers {
+			if pass == 0 && !s.inSubset {
 				continue
 			}
-			left := s.base / (1 + b.inFlight(s)/max(1e-9, s.base*b.meanLoad))
-			if left > most && b.may(s, r, avoid) {
-				best, most = s, left
+			capacityLeft := s.baseCapacity / (1 + b.inFlight(s)/max(1e-9, s.baseCapacity*b.meanLoad))
+			if capacityLeft > bestCapacity && b.eligible(s, r, strict) {
+				best, bestCapacity = s, capacityLeft
 			}
 		}
 		if best != nil {
@@ -275,305 +338,324 @@
 	return best
 }
 
-// near tells whether s goes first at this proxy.
-func (b *Balancer) near(s *server) bool { return s.Zone == b.set.Zone || !b.homely }
+// inPreferredZone reports whether s is in the zone that this proxy prefers, if it prefers one.
+func (b *Balancer) inPreferredZone(s *server) bool {
+	return s.Zone == b.settings.Zone || !b.preferLocalZone
+}
 
-// trial returns a server set aside whose next trial is due, for a request that can be sent again.
-func (b *Balancer) trial(r *request) *server {
-	if len(r.tried) > 0 || r.class.Effect == Unsafe || r.over || r.Stream {
+// probationServer returns an ejected server that is due for a probation attempt, if r can be sent
+// again afterwards.
+func (b *Balancer) probationServer(r *request) *server {
+	if len(r.attempted) > 0 || r.class.Effect == Unsafe || r.overAllowance || r.Stream {
 		return nil
 	}
-	for _, s := range b.order {
-		if s.aside && s.mine && !b.noneUp && s.State == Ready && s.load.out == 0 && b.now >= s.trialAt &&
-			(b.cold(s) == 1 || s.purse > 0) && b.covered(r, s) {
-			s.trialAt = b.now + s.wait
+	for _, s := range b.sortedServers {
+		if s.ejected && s.inSubset && !b.allEjected && s.State == Ready && s.load.ownInFlight == 0 &&
+			b.now >= s.probationAt && (b.warmUpFraction(s) == 1 || s.slowStartBudget > 0) &&
+			b.canRetryElsewhere(r, s) {
+			s.probationAt = b.now + s.probationBackoff
 			return s
 		}
 	}
 	return nil
 }
 
-// covered tells whether r can be sent again once an attempt at s has failed.
-func (b *Balancer) covered(r *request, s *server) bool {
-	return slices.ContainsFunc(b.order, func(o *server) bool {
-		return o != s && !o.aside && o.State == Ready && (r.class.Effect == Safe || r.class.Group == GroupAll ||
+// canRetryElsewhere reports whether r can be sent to another server after an attempt at s has
+// failed.
+func (b *Balancer) canRetryElsewhere(r *request, s *server) bool {
+	return slices.ContainsFunc(b.sortedServers, func(o *server) bool {
+		return o != s && !o.ejected && o.State == Ready && (r.class.Effect == Safe || r.class.Group == GroupAll ||
 			o.Zone == s.Zone && (r.class.Group == GroupZone || o.Cell == s.Cell))
 	})
 }
 
 // Requests.
 
-func (b *Balancer) arrive(ev Request) {
+// handleRequest starts a new request.
+func (b *Balancer) handleRequest(ev Request) {
 	if b.requests[ev.ID] != nil {
-		return // a repeated id is one request
+		return // a repeated id is the same request
 	}
-	if ev.Class < 0 || ev.Class >= len(b.set.Classes) {
-		b.acts = append(b.acts, Action{Do: Fail, Request: ev.ID})
+	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) {
+		b.actions = append(b.actions, Action{Do: Fail, Request: ev.ID})
 		return
 	}
-	r := &request{Request: ev, class: &b.set.Classes[ev.Class], key: mix(ev.Key), arrived: b.now,
-		deadline: b.now + ev.Budget, most: b.set.MaxAttempts}
+	r := &request{Request: ev, class: &b.settings.Classes[ev.Class], key: mix(ev.Key), arrivedAt: b.now,
+		deadline: b.now + ev.Budget, maxAttempts: b.settings.MaxAttempts}
 	if !ev.HasKey {
 		r.key = b.random()
 	}
-	if ev.Tenant >= 0 && ev.Tenant < len(b.tenants) {
-		b.tenants[ev.Tenant]--
-		if r.over = b.tenants[ev.Tenant] < 0; r.over {
-			b.tenants[ev.Tenant]++
+	if ev.Tenant >= 0 && ev.Tenant < len(b.tenantTokens) {
+		b.tenantTokens[ev.Tenant]--
+		if r.overAllowance = b.tenantTokens[ev.Tenant] < 0; r.overAllowance {
+			b.tenantTokens[ev.Tenant]++
 		}
 	}
-	r.elapsed = b.firsts[ev.Class].elapsed(ev.Budget, r.class.Deadline)
-	b.estimate(r)
-	b.meanWork += (r.work - b.meanWork) * fitGain
-	b.counts[r.key%hotCounts]++
-	b.counted++
-	b.retries = min(retryStock, max(0, b.retries)+retryShare)
+	r.elapsed = b.firstAttempts[ev.Class].elapsed(ev.Budget, r.class.Deadline)
+	b.estimateWork(r)
+	b.meanWork += (r.work - b.meanWork) * regressionGain
+	b.keyCounts[r.key%keyCounters]++
+	b.keyTotal++
+	b.retryTokens = min(maxRetryTokens, max(0, b.retryTokens)+retriesPerRequest)
 	b.requests[ev.ID] = r
 	b.dispatch(r)
 }
 
-// estimate takes what was learned up to now into what r takes and what it is worth for that. Guards against
-// refusing a held request where there is room: its work as first guessed, times how much slower the server is
-// than what was learned since.
-func (b *Balancer) estimate(r *request) {
-	work := b.works[r.Class].at(r.Cost.Seconds())
-	b.arrived += work - r.work
+// estimateWork updates the expected work of r and its relative worth with what was learned since it
+// arrived. Otherwise a held request is shed although there is headroom: the first guess of its work
+// would be multiplied by a relative latency computed from newer estimates.
+func (b *Balancer) estimateWork(r *request) {
+	work := b.workEstimators[r.Class].predict(r.Cost.Seconds())
+	b.arrivedWork += work - r.work
 	r.work = work
-	r.rank, r.wanted = b.rank(r)
+	r.relativeWorth, r.targetLatency = b.relativeWorth(r)
 }
 
-// worth is a request's worth for each unit of work.
-func (b *Balancer) worth(class int, over bool) float64 {
-	w := b.set.Classes[class].Worth
-	if !b.set.WorthByWork {
-		w /= b.works[class].y
+// worthPerWork returns the worth of a request per unit of work.
+func (b *Balancer) worthPerWork(class int, overAllowance bool) float64 {
+	worth := b.settings.Classes[class].Worth
+	if !b.settings.WorthByWork {
+		worth /= b.workEstimators[class].meanY
 	}
-	if over {
-		w *= b.set.OverShareWorth
+	if overAllowance {
+		worth *= b.settings.OverShareWorth
 	}
-	return w
+	return worth
 }
 
-// rank is what r is worth now for its work against the best that may come, from 0 to 1, and the time in
-// which it is wanted. What its caller has waited for in vain before is only worth a late answer.
-func (b *Balancer) rank(r *request) (float64, time.Duration) {
-	aim, mine := r.class.Aim, b.worth(r.Class, r.over)
-	best := b.worth(r.Class, false)
-	if left := aim - r.elapsed; float64(left) > lateAim*float64(aim) {
-		aim = left
+// relativeWorth returns the worth of r for its work relative to the best that may come, from 0 to
+// 1, and its target latency. Time that the client spent on earlier attempts counts toward Aim;
+// after that r only has its late worth.
+func (b *Balancer) relativeWorth(r *request) (float64, time.Duration) {
+	aim, worth := r.class.Aim, b.worthPerWork(r.Class, r.overAllowance)
+	best := b.worthPerWork(r.Class, false)
+	if remaining := aim - r.elapsed; float64(remaining) > lateAimFraction*float64(aim) {
+		aim = remaining
 	} else {
-		mine *= max(lateLeast, r.class.LateWorth)
+		worth *= max(minLateWorth, r.class.LateWorth)
 	}
-	for i := range b.set.offered() {
-		if w := b.worth(i, false); w > mine {
-			aim, best = min(aim, b.set.Classes[i].Aim), max(best, w)
+	for i := range b.settings.offeredClasses() {
+		if other := b.worthPerWork(i, false); other > worth {
+			aim, best = min(aim, b.settings.Classes[i].Aim), max(best, other)
 		}
 	}
-	return math.Sqrt(mine / max(best, 1e-9)), aim
+	return math.Sqrt(worth / max(best, 1e-9)), aim
 }
 
-// patience is the longest expected answer for which r is taken on: a part of its aim, or of
-// that of a class worth more, and the smaller the less it is worth for its work.
-func (b *Balancer) patience(r *request) float64 {
-	// Guards against queues that are seen when they are full: of many proxies each hears of a server seldom.
-	few := min(1, fewProxies/float64(b.set.Balancers))
-	return r.wanted.Seconds() * (refuseBase*(2+few)/3 + refuseWorth*(1+few)/2*r.rank)
+// maxExpectedAnswer returns the longest expected answer time, in seconds, at which r is accepted: a
+// fraction of its target latency that grows with its relative worth.
+func (b *Balancer) maxExpectedAnswer(r *request) float64 {
+	// In a large fleet, each proxy hears from a server seldom and would notice a queue only when it
+	// is full.
+	fleetFactor := min(1, smallFleet/float64(b.settings.Balancers))
+	return r.targetLatency.Seconds() *
+		(shedBase*(2+fleetFactor)/3 + shedWorthGain*(1+fleetFactor)/2*r.relativeWorth)
 }
 
-// answerIn is the expected answer that patience is held against. Where worth is counted by work, what a
-// heavy request takes itself is no reason to turn it away, as long as it is answered in time.
-func (b *Balancer) answerIn(r *request, slow float64) float64 {
-	own := slow * r.work
-	if !b.set.WorthByWork {
-		return own
+// expectedAnswer returns the expected answer time of r, in seconds, that is compared with
+// maxExpectedAnswer. If worth counts per unit of work, a heavy request is not shed for its own work
+// as long as its answer is expected in time.
+func (b *Balancer) expectedAnswer(r *request, latency float64) float64 {
+	ownTime := latency * r.work
+	if !b.settings.WorthByWork {
+		return ownTime
 	}
-	return slow * b.meanWork * max(1, heavyAim*own/r.class.Aim.Seconds())
+	return latency * b.meanWork * max(1, heavyAimFactor*ownTime/r.class.Aim.Seconds())
 }
 
 // dispatch sends r to a server, holds it, or ends it.
 func (b *Balancer) dispatch(r *request) {
-	left := r.deadline - b.now
-	if left <= 0 || len(r.tried) >= r.most {
-		b.finish(r)
+	remaining := r.deadline - b.now
+	if remaining <= 0 || len(r.attempted) >= r.maxAttempts {
+		b.refuseOrFail(r)
 		return
 	}
-	if b.expired {
-		b.await(r)
+	if b.listExpired {
+		b.awaitValidList(r)
 		return
 	}
-	s := b.trial(r)
-	probing := s != nil
-	if !probing {
-		s = b.pick(r)
+	s := b.probationServer(r)
+	probation := s != nil
+	if !probation {
+		s = b.selectServer(r)
 	}
 	if s == nil {
-		if len(r.tried) > 0 || b.now-r.arrived >= r.class.Aim {
-			b.finish(r)
+		if len(r.attempted) > 0 || b.now-r.arrivedAt >= r.class.Aim {
+			b.refuseOrFail(r)
 			return
-		} else if b.bounded() {
-			b.refuse(r) // waiting here would only move the queue
+		} else if b.anyConcurrencyLimit() {
+			b.shed(r) // holding it here would only move the queue
 			return
 		}
 		b.hold(r)
 		return
 	}
-	held := b.inFlight(s) + 1
-	// Refused in proportion, never all: a proxy that sends nothing learns nothing either.
-	if len(r.tried) == 0 && !probing && b.uniform() > max(leastTaken,
-		math.Pow(b.patience(r)/b.answerIn(r, b.slowness(s, held)), 3)) {
-		b.refuse(r)
+	inFlight := b.inFlight(s) + 1
+	// Shed in proportion, never everything: a proxy that sends nothing learns nothing.
+	if len(r.attempted) == 0 && !probation && b.uniform() > max(minAcceptance,
+		math.Pow(b.maxExpectedAnswer(r)/b.expectedAnswer(r, b.relativeLatency(s, inFlight)), 3)) {
+		b.shed(r)
 		return
 	}
-	if b.cold(s) < 1 {
-		s.purse -= r.work
+	if b.warmUpFraction(s) < 1 {
+		s.slowStartBudget -= r.work
 	}
-	if len(r.tried) > 0 {
-		b.arrived += r.work
+	if len(r.attempted) > 0 {
+		b.arrivedWork += r.work
 	}
-	r.tried, r.loads = append(r.tried, s), append(r.loads, held/s.Weight)
+	r.attempted, r.sentLoads = append(r.attempted, s), append(r.sentLoads, inFlight/s.Weight)
 	r.sentAt = b.now
-	if c := &s.classes[r.Class]; c.fails >= classRun {
-		c.until = b.now + c.wait // one at a time tries whether it is over
-	}
-	r.out++
-	s.load.out++
-	limit := time.Duration(0) // till the client gives up: an early end leaves dead work behind
-	if probing {
-		limit = max(tick, min(left, r.class.Aim)/2)
-	}
-	within := time.Duration(0)
-	if r.ran != nil && r.class.Effect == Keyed { // guards against a connection that outlasts the repeats' window
-		within = r.ranAt + r.class.Memory - b.now
-	}
-	b.acts = append(b.acts, Action{Do: Send, Request: r.ID, Server: s.ID, For: limit, Within: within})
+	if health := &s.classHealth[r.Class]; health.failures >= classBlockFailures {
+		// Blocked again, so that one request at a time checks whether it has recovered.
+		health.blockedUntil = b.now + health.backoff
+	}
+	r.outstanding++
+	s.load.ownInFlight++
+	timeout := time.Duration(0) // until the client gives up: a shorter timeout leaves useless work behind
+	if probation {
+		timeout = max(tickInterval, min(remaining, r.class.Aim)/2)
+	}
+	sendWithin := time.Duration(0)
+	// The connection must not deliver the request after the deduplication window.
+	if r.mayHaveRunOn != nil && r.class.Effect == Keyed {
+		sendWithin = r.mayHaveRunSentAt + r.class.Memory - b.now
+	}
+	b.actions = append(b.actions, Action{Do: Send, Request: r.ID, Server: s.ID, For: timeout,
+		Within: sendWithin})
 }
 
-// hold has r looked at again after a while, and if that was in vain, also when attempts end.
+// hold schedules another check of r. From the second time on, r is also checked when an attempt
+// ends.
 func (b *Balancer) hold(r *request) {
-	b.token = max(b.token+1, firstToken)
-	b.held[b.token] = r.ID
-	b.timer(min(holdFor, r.deadline-b.now), b.token)
-	if r.held && !r.waits {
-		b.firstWaiting() // guards against a list that grows while no attempt ends
-		r.waits = true
-		b.waiting = append(b.waiting, r.ID)
-	}
-	r.held = true
+	b.lastToken = max(b.lastToken+1, firstHoldToken)
+	b.heldByToken[b.lastToken] = r.ID
+	b.setTimer(min(holdInterval, r.deadline-b.now), b.lastToken)
+	if r.wasHeld && !r.queued {
+		b.firstQueued() // removes ended requests, so that the queue does not grow while no attempt ends
+		r.queued = true
+		b.waitQueue = append(b.waitQueue, r.ID)
+	}
+	r.wasHeld = true
 }
 
-// firstWaiting returns the first of the waiting requests, nil if there is none, and forgets those that ended.
-func (b *Balancer) firstWaiting() *request {
-	for len(b.waiting) > 0 {
-		if r := b.requests[b.waiting[0]]; r != nil && !r.answered && len(r.tried) == 0 {
+// firstQueued returns the first waiting request, nil if there is none, and removes those that have
+// ended.
+func (b *Balancer) firstQueued() *request {
+	for len(b.waitQueue) > 0 {
+		if r := b.requests[b.waitQueue[0]]; r != nil && !r.answered && len(r.attempted) == 0 {
 			return r
 		}
-		b.waiting = b.waiting[1:]
+		b.waitQueue = b.waitQueue[1:]
 	}
 	return nil
 }
 
-// resume has the first of the waiting requests sent if s may take it, now that an attempt there has ended.
-// Guards against one that finds no room at each look, since requests that come later take all that is free in
-// between: it was refused in the end. That is so only where answers take less time than passes between two
-// looks; where they take longer, those that have waited would make the others late.
-func (b *Balancer) resume(s *server) {
-	r := b.firstWaiting()
-	if r == nil || b.expired || !b.may(s, r, true) {
+// resumeQueued dispatches the first waiting request, now that an attempt at s has ended, if s is
+// eligible. Otherwise a held request may find no headroom at each check, because newer requests
+// take all of it in between, until it is shed. This only applies where answers take less time than
+// holdInterval. Where they take longer, requests that have waited would make the others late.
+func (b *Balancer) resumeQueued(s *server) {
+	r := b.firstQueued()
+	if r == nil || b.listExpired || !b.eligible(s, r, true) {
 		return
 	}
-	b.estimate(r)
-	if b.answerIn(r, b.slowness(s, b.inFlight(s)+1)) < holdFor.Seconds() {
-		b.waiting, r.waits = b.waiting[1:], false
+	b.estimateWork(r)
+	if b.expectedAnswer(r, b.relativeLatency(s, b.inFlight(s)+1)) < holdInterval.Seconds() {
+		b.waitQueue, r.queued = b.waitQueue[1:], false
 		b.dispatch(r)
 	}
 }
 
-// await holds r for a list that may be used, as long as it can still be answered in time; what was tried
-// before is given up at once.
-func (b *Balancer) await(r *request) {
+// awaitValidList holds r until the list lease is valid again, as long as it can still be answered
+// in time. A request that was already sent once ends at once.
+func (b *Balancer) awaitValidList(r *request) {
 	switch {
-	case len(r.tried) > 0:
-		b.finish(r)
-	case float64(b.now-r.arrived) >= expiredWait*float64(r.class.Aim):
-		b.refuse(r)
+	case len(r.attempted) > 0:
+		b.refuseOrFail(r)
+	case float64(b.now-r.arrivedAt) >= expiredListAimFraction*float64(r.class.Aim):
+		b.shed(r)
 	default:
 		b.hold(r)
 	}
 }
 
-// refuse turns r away before it was sent anywhere.
-func (b *Balancer) refuse(r *request) {
-	b.refused++
-	b.arrived -= r.work // guards against a cold server's budget that grows with what nobody is sent
-	b.finish(r)
+// shed refuses r before it was sent anywhere.
+func (b *Balancer) shed(r *request) {
+	b.shedCount++
+	// Otherwise the budgets of servers in slow start grow with work that is not sent.
+	b.arrivedWork -= r.work
+	b.refuseOrFail(r)
 }
 
-// finish gives r its final answer: a refusal where that is harmless, else a failure.
-func (b *Balancer) finish(r *request) {
-	if r.ran == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
-		b.acts = append(b.acts, Action{Do: Refuse, Request: r.ID, For: b.set.MaxRetryAfter})
+// refuseOrFail gives r its final answer: Refuse if a repeat by the client is harmless, else Fail.
+func (b *Balancer) refuseOrFail(r *request) {
+	if r.mayHaveRunOn == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+		b.actions = append(b.actions, Action{Do: Refuse, Request: r.ID, For: b.settings.MaxRetryAfter})
 	} else {
-		b.acts = append(b.acts, Action{Do: Fail, Request: r.ID})
+		b.actions = append(b.actions, Action{Do: Fail, Request: r.ID})
 	}
-	b.end(r)
+	b.closeRequest(r)
 }
 
-func (b *Balancer) outcome(ev Outcome) {
+// handleOutcome learns from the end of an attempt, and retries or ends its request.
+func (b *Balancer) handleOutcome(ev Outcome) {
 	s := b.servers[ev.Server]
 	r := b.requests[ev.Request]
-	// Only the last attempt can be out: a repeated or stray outcome changes nothing.
-	known := r != nil && r.out > 0 && ev.Attempt == len(r.tried)-1 && r.tried[ev.Attempt].ID == ev.Server
-	if s != nil && known {
-		s.load.out = max(0, s.load.out-1)
-		b.report(s, ev.Load)
-		b.judge(s, r, ev)
+	// Only the last attempt can be outstanding. A repeated or unexpected outcome changes nothing.
+	valid := r != nil && r.outstanding > 0 && ev.Attempt == len(r.attempted)-1 &&
+		r.attempted[ev.Attempt].ID == ev.Server
+	if s != nil && valid {
+		s.load.ownInFlight = max(0, s.load.ownInFlight-1)
+		b.addLoadReport(s, ev.Load)
+		b.updateHealth(s, r, ev)
 		if ev.Result == OK {
-			s.bound.took(r.loads[ev.Attempt] * s.Weight)
+			s.concurrencyLimit.onAccepted(r.sentLoads[ev.Attempt] * s.Weight)
 		} else if ev.Result == Full {
-			s.bound.full(max(r.loads[ev.Attempt]*s.Weight, b.inFlight(s)+1))
-			// Guards against pushing over a cold server by what it turns away, and against taking for
-			// traffic that servers can bear what they turn away.
-			s.purse -= coldDebt * r.work
-			b.arrived -= r.work
+			s.concurrencyLimit.onRejection(max(r.sentLoads[ev.Attempt]*s.Weight, b.inFlight(s)+1))
+			// Charge the rejection to a server in slow start, which could otherwise be overloaded
+			// by the requests it rejects, and do not count rejected work as traffic that the
+			// servers can handle.
+			s.slowStartBudget -= rejectionCost * r.work
+			b.arrivedWork -= r.work
 		}
-		if r.tried[ev.Attempt] == s && (ev.Result == OK || ev.Result == TimedOut) && ev.Latency > 0 {
-			s.pace.add(ev.Latency.Seconds()/r.work, ev.Result == OK, b.now)
-			b.learn(s, r, r.loads[ev.Attempt], ev.Latency.Seconds())
+		if r.attempted[ev.Attempt] == s && (ev.Result == OK || ev.Result == TimedOut) && ev.Latency > 0 {
+			s.latency.add(ev.Latency.Seconds()/r.work, ev.Result == OK, b.now)
+			b.updateEstimates(s, r, r.sentLoads[ev.Attempt], ev.Latency.Seconds())
 		}
 	}
-	if !known {
+	if !valid {
 		return
 	}
-	r.out--
+	r.outstanding--
 	if s != nil {
-		defer b.resume(s)
+		defer b.resumeQueued(s)
 	}
 	if ev.Closed || r.answered {
-		b.end(r)
+		b.closeRequest(r)
 		return
 	}
-	if !ev.Result.NeverRan() && r.ran == nil {
-		r.ran, r.ranAt = r.tried[ev.Attempt], r.sentAt
+	if !ev.Result.NeverRan() && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn, r.mayHaveRunSentAt = r.attempted[ev.Attempt], r.sentAt
 	}
-	r.broke, r.stream = ev.Result == Reset || ev.Result == LocalFault, r.stream || ev.Gone
-	if b.again(r, ev.Result) {
+	r.connectionBroke, r.cannotResend = ev.Result == Reset || ev.Result == LocalFault, r.cannotResend || ev.Gone
+	if b.shouldRetry(r, ev.Result) {
 		b.dispatch(r)
 	} else {
-		b.finish(r)
+		b.refuseOrFail(r)
 	}
 }
 
-// again tells whether r may and should be sent once more.
-func (b *Balancer) again(r *request, res Result) bool {
-	// What may have run is repeated only where that does no harm.
-	harm := r.ran != nil && (r.class.Effect == Unsafe ||
-		r.class.Effect == Keyed && b.now-r.ranAt >= r.class.Memory)
-	late := b.now-r.arrived > r.class.Aim && r.class.LateWorth == 0
-	if harm || late || r.stream || b.now >= r.deadline || res == Moot {
+// shouldRetry reports whether r may and should be sent again.
+func (b *Balancer) shouldRetry(r *request, result Result) bool {
+	// A request that may have run is only repeated if that is harmless.
+	harmful := r.mayHaveRunOn != nil && (r.class.Effect == Unsafe ||
+		r.class.Effect == Keyed && b.now-r.mayHaveRunSentAt >= r.class.Memory)
+	tooLate := b.now-r.arrivedAt > r.class.Aim && r.class.LateWorth == 0
+	if harmful || tooLate || r.cannotResend || b.now >= r.deadline || result == Moot {
 		return false
 	}
-	if res != ConnectFailed && res != LocalFault { // which put no load on anyone
-		b.retries--
+	if result != ConnectFailed && result != LocalFault { // these put no load on any server
+		b.retryTokens--
 	}
-	return b.retries >= 0
+	return b.retryTokens >= 0
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -80,8 +80,8 @@
 func owners(b *Balancer, n int) map[uint64]ServerID {
 	m := map[uint64]ServerID{}
 	for k := uint64(1); k <= uint64(n); k++ {
-		r := &request{class: &b.set.Classes[0], key: mix(k), work: 0.01}
-		m[k] = b.pick(r).ID
+		r := &request{class: &b.settings.Classes[0], key: mix(k), work: 0.01}
+		m[k] = b.selectServer(r).ID
 	}
 	return m
 }
@@ -132,29 +132,29 @@
 func TestOwnedNeverOverlaps(t *testing.T) {
 	p := newProxy(t, testSettings(), 1, fleet(9)...)
 	for round := range 200 {
-		s := p.b.order[p.b.random()%9]
-		p.b.resize(s, 3*p.b.uniform())
+		s := p.b.sortedServers[p.b.random()%9]
+		p.b.setCapacity(s, 3*p.b.uniform())
 		if round == 100 {
-			p.b.double(40)
+			p.b.splitRanges(40)
 		}
 		held := 0
-		for _, s := range p.b.order {
+		for _, s := range p.b.sortedServers {
 			parts := 0
-			for _, r := range s.own {
-				if at := p.b.ranges[r]; at.s != s || at.part <= 0 || at.part > 1 {
+			for _, r := range s.ownedRanges {
+				if at := p.b.ranges[r]; at.owner != s || at.fraction <= 0 || at.fraction > 1 {
 					t.Fatalf("round %d: server %d claims range %d, which is %+v", round, s.ID, r, at)
-				} else if at.part < 1 {
+				} else if at.fraction < 1 {
 					parts++
 				}
 			}
 			if parts > 1 {
 				t.Fatalf("round %d: server %d owns %d partial ranges", round, s.ID, parts)
 			}
-			held += len(s.own)
+			held += len(s.ownedRanges)
 		}
 		owned := 0
 		for _, at := range p.b.ranges {
-			if at.s != nil {
+			if at.owner != nil {
 				owned++
 			}
 		}
@@ -168,11 +168,11 @@
 	p := newProxy(t, testSettings(), 1, fleet(9)...)
 	var before []*server
 	for k := range uint64(5000) {
-		before = append(before, p.b.hit(0, mix(k)))
+		before = append(before, p.b.lookup(0, mix(k)))
 	}
-	p.b.double(17)
+	p.b.splitRanges(17)
 	for k := range uint64(5000) {
-		if got := p.b.hit(0, mix(k)); got != before[k] {
+		if got := p.b.lookup(0, mix(k)); got != before[k] {
 			t.Fatalf("key %d moved when the ranges doubled", k)
 		}
 	}
@@ -255,11 +255,11 @@
 	p.now += 40 * ms
 	p.do(List{Kind: FullList, Servers: fleet(1)})
 	p.now += 10 * ms
-	p.one(Send, Timer{Token: firstToken + 1})
+	p.one(Send, Timer{Token: firstHoldToken + 1})
 
 	p = newProxy(t, testSettings(), 1)
 	p.do(Request{ID: 1, Budget: 200 * ms})
-	for token := firstToken + 1; p.now < time.Minute+200*ms; token++ {
+	for token := firstHoldToken + 1; p.now < time.Minute+200*ms; token++ {
 		p.now += 50 * ms
 		if acts := p.do(Timer{Token: token}); len(acts) > 0 {
 			if acts[0].Do != Refuse {
@@ -291,13 +291,13 @@
 	drains := s.Server
 	drains.State = Draining
 	p.do(List{Kind: Changes, Servers: []Server{drains}})
-	failed := p.b.failed
+	failed := p.b.recentFailures
 	next := p.one(Send, Outcome{Request: 1, Server: s.ID, Result: ConnectFailed})
 	if next.Server == s.ID {
 		t.Error("sent to it again")
 	}
-	if s.doubt != 0 || p.b.failed != failed {
-		t.Errorf("evidence %v of a drain, %v failed of %v", s.doubt, p.b.failed, failed)
+	if s.failureEvidence != 0 || p.b.recentFailures != failed {
+		t.Errorf("evidence %v of a drain, %v failed of %v", s.failureEvidence, p.b.recentFailures, failed)
 	}
 }
 
@@ -322,9 +322,9 @@
 func TestLostServerIsSetAside(t *testing.T) {
 	p := newProxy(t, testSettings(), 1, fleet(4)...)
 	var keys []uint64
-	lost := p.b.order[0].ID
+	lost := p.b.sortedServers[0].ID
 	for k := uint64(1); len(keys) < 5; k++ {
-		if p.b.pick(&request{class: &p.b.set.Classes[0], key: mix(k), work: 0.01}).ID == lost {
+		if p.b.selectServer(&request{class: &p.b.settings.Classes[0], key: mix(k), work: 0.01}).ID == lost {
 			keys = append(keys, k)
 		}
 	}
@@ -332,10 +332,10 @@
 		t.Fatal("left before a failure")
 	}
 	p.one(Send, Outcome{Request: 1, Server: lost, Result: ConnectFailed})
-	if s := p.b.servers[lost]; s.d != 0 || len(s.own) != 0 {
-		t.Fatalf("still has capacity %v and ranges %v", s.d, s.own)
+	if s := p.b.servers[lost]; s.capacity != 0 || len(s.ownedRanges) != 0 {
+		t.Fatalf("still has capacity %v and ranges %v", s.capacity, s.ownedRanges)
 	}
-	p.now += longestWait
+	p.now += maxBackoff
 	if a := p.one(Send, Request{ID: 50, Key: keys[3], HasKey: true, Budget: time.Second}); a.Server != lost {
 		t.Fatal("no trial after the wait")
 	}
@@ -343,7 +343,7 @@
 		t.Fatal("a second trial while the first is out")
 	}
 	p.do(Outcome{Request: 50, Server: lost, Result: OK, Closed: true, Latency: ms})
-	if p.b.servers[lost].d == 0 {
+	if p.b.servers[lost].capacity == 0 {
 		t.Error("not taken back after its answer")
 	}
 }
@@ -376,14 +376,14 @@
 	p := newProxy(t, testSettings(), 1, fleet(12)...)
 	hits := func() (own []*server) {
 		for k := range uint64(20000) {
-			own = append(own, p.b.hit(int(k%6), mix(k)))
+			own = append(own, p.b.lookup(int(k%6), mix(k)))
 		}
 		return own
 	}
 	before := hits()
-	s := p.b.order[3]
+	s := p.b.sortedServers[3]
 	for _, d := range []float64{0.4, 1.7, 0} {
-		p.b.resize(s, d)
+		p.b.setCapacity(s, d)
 		after := hits()
 		for i := range after {
 			if after[i] != before[i] && after[i] != s && before[i] != s {
@@ -577,12 +577,12 @@
 			sent[a.Server]++
 		}
 	}
-	if sent[1] != 2*crowd/2 || sent[2] != crowd/2 {
+	if sent[1] != 2*maxInFlightPerWeight/2 || sent[2] != maxInFlightPerWeight/2 {
 		t.Fatalf("sent %v at once", sent)
 	}
-	p.do(Outcome{Request: 0, Server: p.b.requests[0].tried[0].ID, Result: OK, Closed: true, Latency: ms})
+	p.do(Outcome{Request: 0, Server: p.b.requests[0].attempted[0].ID, Result: OK, Closed: true, Latency: ms})
 	// A held request may be refused by lot, but not all of them once there is room.
-	for token := firstToken + 1; token < firstToken+20; token++ {
+	for token := firstHoldToken + 1; token < firstHoldToken+20; token++ {
 		if acts := p.do(Timer{Token: token}); len(acts) == 1 && acts[0].Do == Send {
 			return
 		}
@@ -595,13 +595,13 @@
 func TestTimeOutsAreNoReports(t *testing.T) {
 	for _, reported := range []bool{false, true} {
 		p := newProxy(t, testSettings(), 1, fleet(1)...)
-		s, sent := p.b.order[0], 0
+		s, sent := p.b.sortedServers[0], 0
 		if reported {
-			p.b.report(s, LoadReport{N: 1, Values: [4]float64{2}})
+			p.b.addLoadReport(s, LoadReport{N: 1, Values: [4]float64{2}})
 		}
 		p.one(Send, Request{ID: 0, Class: 4, Budget: time.Hour}) // stays out
 		for i := RequestID(1); sent < 40; i++ {
-			s.aside = false
+			s.ejected = false
 			if acts := p.do(Request{ID: i, Class: 4, Budget: time.Second}); acts[0].Do == Send {
 				sent++
 				p.now += 100 * ms
@@ -619,9 +619,9 @@
 // safe: a keyed request may try it if its group has another server; an unsafe one may not.
 func TestTrialByKeyedRequest(t *testing.T) {
 	p := newProxy(t, testSettings(), 1, fleet(8)...)
-	lost := p.b.order[0]
-	lost.aside, lost.trialAt = true, p.now
-	p.b.resize(lost, 0)
+	lost := p.b.sortedServers[0]
+	lost.ejected, lost.probationAt = true, p.now
+	p.b.setCapacity(lost, 0)
 	if a := p.one(Send, Request{ID: 1, Class: 4, Budget: time.Second}); a.Server == lost.ID {
 		t.Error("tried by an unsafe request")
 	}
@@ -630,9 +630,9 @@
 		t.Errorf("got %+v, want a trial that leaves time for another", a)
 	}
 	p.do(Outcome{Request: 2, Server: lost.ID, Result: TimedOut, Latency: 100 * ms})
-	p.now = lost.trialAt
-	for _, s := range p.b.order[1:4] { // its zone's others
-		s.aside = true
+	p.now = lost.probationAt
+	for _, s := range p.b.sortedServers[1:4] { // its zone's others
+		s.ejected = true
 	}
 	if a := p.one(Send, Request{ID: 3, Class: 2, Budget: time.Second}); a.Server == lost.ID {
 		t.Error("tried where nothing could make up for a failure")
@@ -645,7 +645,7 @@
 func TestBarFromOneClass(t *testing.T) {
 	for res, do := range map[Result]Do{Full: Send, TimedOut: Fail} {
 		p := newProxy(t, testSettings(), 1, fleet(4)...)
-		odd, id := p.b.order[0].ID, RequestID(0)
+		odd, id := p.b.sortedServers[0].ID, RequestID(0)
 		send := func(class, n int) (got int) {
 			for range n {
 				id++
@@ -670,11 +670,11 @@
 			send(0, 5)
 			shut += send(4, 5)
 		}
-		p.now += firstWait // it may have been set aside for its failures
-		if open := send(0, 100); shut > classRun || open < 10 {
+		p.now += minBackoff // it may have been set aside for its failures
+		if open := send(0, 100); shut > classBlockFailures || open < 10 {
 			t.Errorf("result %d: asked %d times for what it does not do, and %d of 100 for the rest", res, shut, open)
 		}
-		p.now += longestWait
+		p.now += maxBackoff
 		if again := send(4, 100); again != 1 {
 			t.Errorf("result %d: tried %d times after the wait, want once", res, again)
 		}
@@ -686,7 +686,7 @@
 func TestFullIsNotSick(t *testing.T) {
 	for res, aside := range map[Result]bool{Full: false, ServerError: true} {
 		p := newProxy(t, testSettings(), 1, fleet(4)...)
-		odd := p.b.order[0]
+		odd := p.b.sortedServers[0]
 		for id := RequestID(1); id <= 400; id++ {
 			a := p.one(Send, Request{ID: id, Class: int(id % 2), Budget: time.Second})
 			p.now += ms
@@ -697,8 +697,8 @@
 			}
 			p.do(Outcome{Request: id, Server: a.Server, Result: OK, Closed: true, Latency: ms})
 		}
-		if odd.aside != aside || (odd.doubt > 0) != aside {
-			t.Errorf("result %d: aside %t, evidence %.1f", res, odd.aside, odd.doubt)
+		if odd.ejected != aside || (odd.failureEvidence > 0) != aside {
+			t.Errorf("result %d: aside %t, evidence %.1f", res, odd.ejected, odd.failureEvidence)
 		}
 	}
 }
@@ -709,13 +709,13 @@
 	waits := map[time.Duration]int{70 * ms: 0, 900 * ms: 0} // until it is set aside
 	for wait := range waits {
 		p := newProxy(t, testSettings(), 1, fleet(6)...)
-		p.b.tries = 1000
-		s := p.b.order[0]
-		r := &request{class: &p.b.set.Classes[4], Request: Request{Class: 4}, work: 0.05}
-		for ; !s.aside && waits[wait] < 20; waits[wait]++ {
+		p.b.recentAttempts = 1000
+		s := p.b.sortedServers[0]
+		r := &request{class: &p.b.settings.Classes[4], Request: Request{Class: 4}, work: 0.05}
+		for ; !s.ejected && waits[wait] < 20; waits[wait]++ {
 			p.now += wait
 			p.b.now = p.now
-			p.b.judge(s, r, Outcome{Server: s.ID, Result: TimedOut, Latency: wait})
+			p.b.updateHealth(s, r, Outcome{Server: s.ID, Result: TimedOut, Latency: wait})
 		}
 	}
 	if waits[70*ms] < 10 || waits[900*ms] > 4 {
@@ -727,29 +727,29 @@
 // servers that have not met them, and back at the next refresh.
 func TestOneReportMovesNoKeys(t *testing.T) {
 	p := newProxy(t, testSettings(), 1, fleet(4)...)
-	say := func(s *server, n float64) { p.b.report(s, LoadReport{N: 1, Values: [4]float64{n}}) }
+	say := func(s *server, n float64) { p.b.addLoadReport(s, LoadReport{N: 1, Values: [4]float64{n}}) }
 	for range 50 {
 		p.now += 100 * ms
-		for _, s := range p.b.order {
+		for _, s := range p.b.sortedServers {
 			p.b.now = p.now
 			say(s, 2)
 		}
 		p.do(Timer{Token: tickToken})
 	}
-	s := p.b.order[0]
-	usual := p.b.capacity(s)
+	s := p.b.sortedServers[0]
+	usual := p.b.effectiveCapacity(s)
 	p.now += 100 * ms
 	p.b.now = p.now
-	if say(s, 8); p.b.capacity(s) < 0.8*usual {
-		t.Errorf("capacity %v after one report of four times the load, %v before", p.b.capacity(s), usual)
+	if say(s, 8); p.b.effectiveCapacity(s) < 0.8*usual {
+		t.Errorf("capacity %v after one report of four times the load, %v before", p.b.effectiveCapacity(s), usual)
 	}
 	for range 50 {
 		p.now += 100 * ms
 		p.b.now = p.now
 		say(s, 8)
 	}
-	if p.b.capacity(s) > 0.5*usual {
-		t.Errorf("capacity %v after five seconds of it", p.b.capacity(s))
+	if p.b.effectiveCapacity(s) > 0.5*usual {
+		t.Errorf("capacity %v after five seconds of it", p.b.effectiveCapacity(s))
 	}
 }
 
@@ -810,7 +810,7 @@
 		{100, 0, 12, 1}, {80, 0, 15, 1}, {12, 12, 300, 1}, // in 100 requests; of 2000; on average
 	} {
 		p, lost, asides := newProxy(t, testSettings(), 1, fleet(8)...), 0, 0
-		for bad := p.b.order[3].ID; p.asked < 4000; p.now += 20 * ms {
+		for bad := p.b.sortedServers[3].ID; p.asked < 4000; p.now += 20 * ms {
 			p.ask(func(s ServerID) Result {
 				part := tc.allFail
 				if s == bad && p.asked > 2000 {
@@ -825,7 +825,7 @@
 			if p.asked == 2000 {
 				lost = 0
 			} else if p.asked > 2000 {
-				asides += p.b.asides()
+				asides += p.b.ejectedCount()
 			}
 		}
 		if lost > tc.mostLost || asides > tc.mostAside*2000 {
@@ -844,13 +844,13 @@
 			set.Me, set.Balancers, set.ColdShare, set.AskForList = i, n, 0.3, true
 			p := newProxy(t, set, uint64(i+1), fleet(16)...)
 			p.asked = RequestID(i << 20) // each has keys of its own
-			lost, fresh, asks := p.b.order[0].ID, fleet(16)[1], p.now
+			lost, fresh, asks := p.b.sortedServers[0].ID, fleet(16)[1], p.now
 			for start := p.now; p.now < start+26*time.Second; p.now += 50 * ms { // 20 requests a second
 				if p.now == start+20*time.Second {
 					fresh.Started = p.now
 					p.do(List{Kind: Changes, Servers: []Server{fresh}})
 				}
-				if p.now%tick == 0 {
+				if p.now%tickInterval == 0 {
 					p.do(Timer{Token: tickToken})
 				}
 				if p.now >= asks {
@@ -894,7 +894,7 @@
 			p.do(Outcome{Request: id, Server: fleet(1)[0].ID, Result: OK, Closed: true,
 				Latency: took, Load: LoadReport{N: 1, Values: [4]float64{1}}})
 		}
-		const held = RequestID(crowd)
+		const held = RequestID(maxInFlightPerWeight)
 		for id := range held {
 			p.one(Send, ask(id))
 		}
@@ -915,7 +915,7 @@
 			answer(held+1+i, took)
 		}
 		p.now += 7 * ms // it has waited for holdFor
-		if acts := p.do(Timer{Token: firstToken + 1}); len(acts) != 1 || acts[0].Request != held {
+		if acts := p.do(Timer{Token: firstHoldToken + 1}); len(acts) != 1 || acts[0].Request != held {
 			t.Fatalf("seed %d: got %+v once there was room", seed, acts)
 		} else if acts[0].Do != Send {
 			refused++
@@ -936,7 +936,7 @@
 		var last RequestID
 		round := func(took time.Duration) { // as many at once as the server may have
 			var sent []RequestID
-			for range int(crowd) {
+			for range int(maxInFlightPerWeight) {
 				last++
 				for _, a := range p.do(Request{ID: last, Class: 4, Budget: time.Second}) {
 					if a.Do == Refuse {
@@ -998,19 +998,19 @@
 		ask()
 		end()
 	}
-	for range int(crowd) {
+	for range int(maxInFlightPerWeight) {
 		ask()
 	}
 	held := ask()
-	for token := firstToken + 1; !sent[held]; token++ {
-		for range holdFor / ms {
+	for token := firstHoldToken + 1; !sent[held]; token++ {
+		for range holdInterval / ms {
 			p.now += ms
-			if end(); len(out) < int(crowd) { // its client asks again at once
+			if end(); len(out) < int(maxInFlightPerWeight) { // its client asks again at once
 				ask()
 			}
 		}
 		do(Timer{Token: token})
-		if p.now > time.Minute+4*holdFor {
+		if p.now > time.Minute+4*holdInterval {
 			t.Fatal("requests that came later are sent and this one is not")
 		}
 	}
--- a/bound_test.go
+++ b/concurrency_limit_test.go
@@ -30,7 +30,7 @@
 		for _, room := range []int{6, 9} {
 			rng := rand.New(rand.NewPCG(uint64(proxies), uint64(room)))
 			q := &queue{room: room}
-			loads, bounds := make([]load, proxies), make([]bound, proxies)
+			loads, bounds := make([]loadEstimator, proxies), make([]concurrencyLimit, proxies)
 			type open struct {
 				proxy int
 				held  float64
@@ -50,21 +50,21 @@
 						continue
 					}
 					l := &loads[o.proxy]
-					l.out--
-					l.report(value, reported+200*ms)
-					bounds[o.proxy].took(o.held)
+					l.ownInFlight--
+					l.addReport(value, reported+200*ms)
+					bounds[o.proxy].onAccepted(o.held)
 				}
 				outs = kept
-				if now%tick == 0 {
+				if now%tickInterval == 0 {
 					for i := range loads {
-						if loads[i].pass(tick); loads[i].out == 0 {
-							bounds[i].idle(tick)
+						if loads[i].advance(tickInterval); loads[i].ownInFlight == 0 {
+							bounds[i].onIdle(tickInterval)
 						}
 					}
 				}
 				if rng.Float64() < 2*0.001/work.Seconds()*2 {
 					i := rng.IntN(proxies)
-					if held := loads[i].held(loads[i].others, now) + 1; bounds[i].leaves(held, 1) {
+					if held := loads[i].estimate(loads[i].othersMean, now) + 1; bounds[i].allows(held, 1) {
 						if sent++; q.at(now) < q.room {
 							start := now
 							if n := len(q.ends); n >= 2 {
@@ -75,11 +75,11 @@
 								end = max(end, q.ends[n-1])
 							}
 							q.ends = append(q.ends, end)
-							loads[i].out++
+							loads[i].ownInFlight++
 							outs = append(outs, open{i, held, end})
 						} else {
 							turned++
-							bounds[i].full(held)
+							bounds[i].onRejection(held)
 						}
 					}
 				}
@@ -97,56 +97,56 @@
 
 // TestBoundComesBack guards against a bound that, once low, is never tried again.
 func TestBoundComesBack(t *testing.T) {
-	var b bound
-	if !b.leaves(100, leastPart) {
+	var b concurrencyLimit
+	if !b.allows(100, minLimitFraction) {
 		t.Error("bounded before anything was turned away")
 	}
 	for range 100 {
-		b.full(3)
+		b.onRejection(3)
 	}
-	if b.leaves(leastHeld+0.1, 1) || !b.leaves(leastHeld, 1) {
-		t.Errorf("bound %g after many turned away, want %g", b.most, leastHeld)
+	if b.allows(minConcurrencyLimit+0.1, 1) || !b.allows(minConcurrencyLimit, 1) {
+		t.Errorf("bound %g after many turned away, want %g", b.limit, minConcurrencyLimit)
 	}
-	if b.full(100); b.most != leastHeld {
+	if b.onRejection(100); b.limit != minConcurrencyLimit {
 		t.Error("an estimate far beyond the bound moved it")
 	}
 	for range 100 {
-		b.idle(tick)
+		b.onIdle(tickInterval)
 	}
-	if !b.leaves(leastHeld+0.9, 1) {
-		t.Errorf("bound %g after ten idle seconds", b.most)
+	if !b.allows(minConcurrencyLimit+0.9, 1) {
+		t.Errorf("bound %g after ten idle seconds", b.limit)
 	}
 }
 
 // TestOldReports guards against proxies that follow one old report together: the same report counts once,
 // what is a proxy's own is no load of others, and the estimate moves with its own attempts at once.
 func TestOldReports(t *testing.T) {
-	var l load
+	var l loadEstimator
 	for i := range 50 {
-		l.report(6, time.Duration(i)*10*ms)
+		l.addReport(6, time.Duration(i)*10*ms)
 	}
-	if got := l.held(2, 12*time.Second); math.Abs(got-3) > 0.2 {
+	if got := l.estimate(2, 12*time.Second); math.Abs(got-3) > 0.2 {
 		t.Errorf("one report of 6 where 2 are usual: %.2f, want about 3", got)
 	}
-	if got := l.held(2, 10*ms); math.Abs(got-6) > 0.2 {
+	if got := l.estimate(2, 10*ms); math.Abs(got-6) > 0.2 {
 		t.Errorf("just told of 6: %.2f", got)
 	}
-	l = load{out: 4}
+	l = loadEstimator{ownInFlight: 4}
 	for i := range 100 {
-		l.pass(tick)
-		l.report(6+float64(i%2)/10, time.Duration(i)*tick)
+		l.advance(tickInterval)
+		l.addReport(6+float64(i%2)/10, time.Duration(i)*tickInterval)
 	}
-	if got := l.held(2, 12*time.Second); math.Abs(got-6) > 0.3 {
+	if got := l.estimate(2, 12*time.Second); math.Abs(got-6) > 0.3 {
 		t.Errorf("4 of its own of 6: %.2f", got)
 	}
-	if l.out++; math.Abs(l.held(2, 12*time.Second)-7) > 0.3 {
-		t.Errorf("one more of its own: %.2f", l.held(2, 12*time.Second))
+	if l.ownInFlight++; math.Abs(l.estimate(2, 12*time.Second)-7) > 0.3 {
+		t.Errorf("one more of its own: %.2f", l.estimate(2, 12*time.Second))
 	}
 }
 
 // TestPaceFades guards against a server avoided for ever for what it once took.
 func TestPaceFades(t *testing.T) {
-	var p pace
+	var p latencyEstimator
 	for range 20 {
 		p.add(4, true, time.Second)
 	}
@@ -165,7 +165,7 @@
 // tells how much of the deadline is gone.
 func TestElapsed(t *testing.T) {
 	const deadline = 600 * ms
-	var f firsts
+	var f firstAttemptEstimator
 	rng := rand.New(rand.NewPCG(1, 1))
 	ask := func(budget time.Duration) time.Duration { return f.elapsed(budget, deadline) }
 	for range 2000 {
@@ -194,9 +194,9 @@
 	set := testSettings()
 	set.Classes[0].Worth, set.Classes[4].Worth, set.WorthByWork = 2, 10, true
 	p := newProxy(t, set, 1, fleet(3)...)
-	for _, s := range p.b.order {
-		p.b.report(s, LoadReport{N: 1, Values: [4]float64{3}})
-		s.load.seen, s.bound.most = 1e6, 5
+	for _, s := range p.b.sortedServers {
+		p.b.addLoadReport(s, LoadReport{N: 1, Values: [4]float64{3}})
+		s.load.othersWeight, s.concurrencyLimit.limit = 1e6, 5
 	}
 	return p
 }
@@ -218,11 +218,11 @@
 		p.do(Request{ID: RequestID(100 + i), Class: 4, Budget: time.Second})
 		p.do(Departed{Request: RequestID(100 + i)})
 	}
-	for _, s := range p.b.order {
-		s.load.out = 0
+	for _, s := range p.b.sortedServers {
+		s.load.ownInFlight = 0
 	}
 	p.one(Send, Request{ID: 1, Class: 4, Budget: time.Second})
-	p.do(Outcome{Request: 1, Server: p.b.requests[1].tried[0].ID, Result: OK, Closed: true, Latency: ms})
+	p.do(Outcome{Request: 1, Server: p.b.requests[1].attempted[0].ID, Result: OK, Closed: true, Latency: ms})
 	p.one(Refuse, Request{ID: 2, Class: 4, Budget: 500 * ms})
 }
 
@@ -233,7 +233,8 @@
 		set := testSettings()
 		set.WorthByWork, set.Classes[0].Worth, set.Classes[4].Worth = byWork, 2, 10
 		p := newProxy(t, set, 1, fleet(3)...)
-		p.b.works[0] = fit{n: 1e6, x: 0.05, y: 0.05, xx: 0.0125, xy: 0.0125}
+		p.b.workEstimators[0] = linearRegression{samples: 1e6, meanX: 0.05, meanY: 0.05,
+			meanXX: 0.0125, meanXY: 0.0125}
 		p.b.meanWork = 0.05
 		sent := 0
 		for i := range RequestID(50) {
--- a/evidence.go
+++ b/evidence.go
@@ -1,83 +1,92 @@
 package lilacglade
 
-// What the ends of attempts say of servers: which are set aside, and how fast they are.
+// This file derives the health and the speed of servers from the ends of attempts.
 
 import "math"
 
-// judge sets s aside when its failures are evidence enough, and takes it back when its answers are.
-func (b *Balancer) judge(s *server, r *request, ev Outcome) {
-	c, sent := &s.classes[r.Class], b.now-ev.Latency
+// updateHealth ejects s when its failures are sufficient evidence, and readmits it when its answers
+// are.
+func (b *Balancer) updateHealth(s *server, r *request, ev Outcome) {
+	health, sentAt := &s.classHealth[r.Class], b.now-ev.Latency
 	switch ev.Result {
 	case OK:
-		s.okAt, c.okAt = b.now, b.now
-		c.fails, c.wait = c.fails/2, c.wait/2
-		if b.weigh(s, false, 0); s.aside {
-			// The wait stays, halved: guards against a server that answers now and then.
-			if s.wait, s.trialAt = s.wait/2, b.now; s.doubt < certain {
-				s.aside = false
-				b.resize(s, b.capacity(s))
-				b.logServer(s, "is back")
+		s.lastSuccess, health.lastSuccess = b.now, b.now
+		health.failures, health.backoff = health.failures/2, health.backoff/2
+		if b.addEvidence(s, false, 0); s.ejected {
+			// The backoff is only halved, so that a server that answers now and then is not probed
+			// often.
+			if s.probationBackoff, s.probationAt = s.probationBackoff/2,
+				b.now; s.failureEvidence < ejectionEvidence {
+				s.ejected = false
+				b.setCapacity(s, b.effectiveCapacity(s))
+				b.logServer(s, "readmitted")
 			}
 		}
 	case ServerError, TimedOut, ConnectFailed, Reset, Full:
 		if s.State != Ready {
-			return // it takes nothing new, and is not sick
+			return // it gets no new requests, and this is no failure
 		}
-		// Guards against a server that fails, turns away or never answers one class and serves the
-		// others: their answers would speak for it.
-		if ev.Result == Full || ev.Result == ServerError || ev.Result == TimedOut && c.okAt < sent {
-			c.fails++
-			c.wait = min(max(firstWait, 2*c.wait), longestWait)
-			c.until = b.now + c.wait/2 + b.jitter(c.wait/2)
+		// Track failures per class: a server that fails, rejects or never answers one class would
+		// otherwise look healthy because it answers the others.
+		if ev.Result == Full || ev.Result == ServerError || ev.Result == TimedOut && health.lastSuccess < sentAt {
+			health.failures++
+			health.backoff = min(max(minBackoff, 2*health.backoff), maxBackoff)
+			health.blockedUntil = b.now + health.backoff/2 + b.jitter(health.backoff/2)
 		}
-		// A time-out says nothing of a server that has answered since: it is only slow. And one that says that
-		// its queue is full is neither sick nor silent: guards against small queues that set a fleet aside.
-		if ev.Result == Full || ev.Result == TimedOut && s.okAt >= sent {
+		// A timeout at a server that has answered since is no evidence of a loss: the server is
+		// only slow. A server that rejects is alive. Otherwise small queues get a whole fleet
+		// ejected.
+		if ev.Result == Full || ev.Result == TimedOut && s.lastSuccess >= sentAt {
 			return
 		}
-		// Attempts that time out bring no report: guards against judging a jammed fleet by the
-		// few servers that still answer. Nothing is doubled that was never reported, nor beyond
-		// what explains the time-out: these guesses make the fleet's mean, which makes the next.
-		if held := b.holds(s, ev.Latency.Seconds()/r.work); ev.Result == TimedOut && s.reported {
-			s.load.more(max(0, min(b.inFlight(s), held-b.inFlight(s))))
+		// Attempts that time out bring no load report, so raise the load estimate: otherwise the
+		// load of a jammed fleet is judged by the few servers that still answer. The estimate is
+		// not raised for a server that has never reported, at most doubled, and not raised above
+		// the load that explains the timeout. These guesses are part of the fleet's mean, which is
+		// part of the next guess.
+		if inFlight := b.inFlightAtLatency(s, ev.Latency.Seconds()/r.work); ev.Result == TimedOut && s.hasReport {
+			s.load.addOthers(max(0, min(b.inFlight(s), inFlight-b.inFlight(s))))
 		}
-		// Of a sound server's answers at most so many take longer than that (Markov).
-		late := 0.0
+		// By Markov's inequality, at most this fraction of a healthy server's answers takes longer.
+		probability := 0.0
 		if ev.Result == TimedOut {
-			late = b.slowness(s, b.inFlight(s)) * r.work / ev.Latency.Seconds()
+			probability = b.relativeLatency(s, b.inFlight(s)) * r.work / ev.Latency.Seconds()
 		}
-		b.weigh(s, true, late)
-		if s.doubt < certain || !s.aside && (3*b.asides() > len(b.order) || len(b.order) == 1) {
-			return // with a third of the fleet set aside it is overload, not loss
+		b.addEvidence(s, true, probability)
+		if s.failureEvidence < ejectionEvidence ||
+			!s.ejected && (3*b.ejectedCount() > len(b.sortedServers) || len(b.sortedServers) == 1) {
+			return // with a third of the fleet ejected, the cause is overload
 		}
-		// Guards against a server lost in silence: its ranges go back at once. And against all proxies
-		// trying it together: the more there are, the longer each waits.
-		if s.wait = min(max(firstWait, b.sharing()*trialEvery, 2*s.wait), longestWait); !s.aside {
-			if s.aside = true; b.parted() {
-				b.refresh = b.now // its part is made good with the next tick
+		// Give up the ranges of a server that was lost without notice at once. The more proxies
+		// send to it, the longer each waits, so that they do not all retry it together.
+		if s.probationBackoff = min(max(minBackoff, b.sharingProxies()*probationSpacing, 2*s.probationBackoff),
+			maxBackoff); !s.ejected {
+			if s.ejected = true; b.usesSubset() {
+				b.nextRefresh = b.now // reselect the subset at the next tick
 			}
-			b.logServer(s, "is set aside: last result %s, evidence %.1f", ev.Result, s.doubt)
-			b.resize(s, 0)
+			b.logServer(s, "ejected: last result %s, failure evidence %.1f", ev.Result, s.failureEvidence)
+			b.setCapacity(s, 0)
 		}
-		s.trialAt = b.now + s.wait/2 + b.jitter(s.wait/2)
+		s.probationAt = b.now + s.probationBackoff/2 + b.jitter(s.probationBackoff/2)
 	}
 }
 
-// learn takes an answer into the works of its class, the load at which requests are sent and
-// the server's speed: what its latency has that the fleet's usual error does not explain.
-func (b *Balancer) learn(s *server, r *request, load float64, took float64) {
-	if b.cold(s) < 1 {
+// updateEstimates updates, with an answer, the work estimate of its class, the mean load at
+// sending, and the server's speed: the part of the latency that the fleet's usual error does not
+// explain.
+func (b *Balancer) updateEstimates(s *server, r *request, sentLoad float64, seconds float64) {
+	if b.warmUpFraction(s) < 1 {
 		return
 	}
-	e := max(-2, min(2, math.Log(took/r.work/b.expected(s, load*s.Weight))))
-	s.speed = max(0.1, min(10, s.speed*math.Exp(-speedGain*(e-b.bias))))
-	step := math.Exp(-kindGain * (e - b.bias))
-	for _, o := range b.order {
+	logError := max(-2, min(2, math.Log(seconds/r.work/b.expectedRelativeLatency(s, sentLoad*s.Weight))))
+	s.speed = max(0.1, min(10, s.speed*math.Exp(-speedGain*(logError-b.latencyBias))))
+	factor := math.Exp(-kindSpeedGain * (logError - b.latencyBias))
+	for _, o := range b.sortedServers {
 		if o.Kind == s.Kind {
-			o.speed = max(0.1, min(10, o.speed*step))
+			o.speed = max(0.1, min(10, o.speed*factor))
 		}
 	}
-	b.bias += (e - b.bias) * fitGain
-	b.works[r.Class].add(r.Cost.Seconds(), took, fitGain)
-	b.usual += (load - b.usual) * max(fitGain, 1/b.works[r.Class].n)
+	b.latencyBias += (logError - b.latencyBias) * regressionGain
+	b.workEstimators[r.Class].add(r.Cost.Seconds(), seconds, regressionGain)
+	b.meanSentLoad += (sentLoad - b.meanSentLoad) * max(regressionGain, 1/b.workEstimators[r.Class].samples)
 }
--- a/headroom.go
+++ b/headroom.go
@@ -1,35 +1,36 @@
 package lilacglade
 
-// ServerHeadroom is what a Balancer measured of one server.
+// ServerHeadroom is the capacity of one server as measured by a Balancer.
 type ServerHeadroom struct {
 	Server      ServerID
-	MaxInFlight float64 // requests of all proxies that it can hold while answers come within the mean aim
-	InFlight    int     // attempts of this proxy that it holds
-	Ejected     bool    // it is ready, and set aside as lost
+	MaxInFlight float64 // requests of all proxies that it can handle with answers within the mean Aim
+	InFlight    int     // outstanding attempts of this proxy
+	Ejected     bool    // ready, but ejected
 }
 
-// Headroom tells what was measured of the servers that are ready, by id. It costs as much as there are servers.
+// Headroom returns the measurements of all ready servers, by id, in time linear in the number of
+// servers.
 func (b *Balancer) Headroom() []ServerHeadroom {
-	rooms := make([]ServerHeadroom, 0, len(b.order))
-	aim := 0.0
-	for _, c := range b.set.Classes {
-		aim += c.Aim.Seconds() / float64(len(b.set.Classes))
+	headroom := make([]ServerHeadroom, 0, len(b.sortedServers))
+	meanAim := 0.0
+	for _, c := range b.settings.Classes {
+		meanAim += c.Aim.Seconds() / float64(len(b.settings.Classes))
 	}
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if s.State != Ready {
 			continue
 		}
-		r := ServerHeadroom{Server: s.ID, InFlight: s.load.out, Ejected: s.aside && !b.noneUp}
-		if !r.Ejected {
-			r.MaxInFlight = crowd * s.Weight
-			if s.bound.most > 0 {
-				r.MaxInFlight = min(r.MaxInFlight, s.bound.most)
+		entry := ServerHeadroom{Server: s.ID, InFlight: s.load.ownInFlight, Ejected: s.ejected && !b.allEjected}
+		if !entry.Ejected {
+			entry.MaxInFlight = maxInFlightPerWeight * s.Weight
+			if s.concurrencyLimit.limit > 0 {
+				entry.MaxInFlight = min(entry.MaxInFlight, s.concurrencyLimit.limit)
 			}
-			if b.usual > 0 && b.meanWork > 0 {
-				r.MaxInFlight = max(0, min(r.MaxInFlight, b.holds(s, aim/b.meanWork)))
+			if b.meanSentLoad > 0 && b.meanWork > 0 {
+				entry.MaxInFlight = max(0, min(entry.MaxInFlight, b.inFlightAtLatency(s, meanAim/b.meanWork)))
 			}
 		}
-		rooms = append(rooms, r)
+		headroom = append(headroom, entry)
 	}
-	return rooms
+	return headroom
 }
--- a/learned.go
+++ b/learned.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Learned is what a Balancer has learned of its servers and passes on to the one that takes its place, in
-// another process of the same proxy: Export gives it, Import takes it. Times are ages.
+// Learned is what a Balancer has learned about its servers, for its successor in another process of
+// the same proxy. Export returns it, Import restores it. Times are ages.
 type Learned struct {
 	Servers                 []LearnedServer
 	Works                   map[string][5]float64 // by class
@@ -17,13 +17,13 @@
 	ReportedAny             bool
 }
 
-// LearnedServer is what was learned of one server. It counts only while the server has not started anew.
+// LearnedServer is what was learned about one server. It is only valid until the server restarts.
 type LearnedServer struct {
 	ID             ServerID
-	Age            time.Duration // since its start; -1 when that is long ago
+	Age            time.Duration // since its start; -1 if long ago
 	Speed, Doubt   float64
-	Load, Usual    float64 // Load: what others hold there
-	Bound          float64 // 0: none
+	Load, Usual    float64 // Load: in-flight requests of other proxies
+	Bound          float64 // concurrency limit; 0 if there is none
 	Reported       bool
 	LoadAge        time.Duration
 	Aside          bool
@@ -31,80 +31,87 @@
 	Purse          float64
 }
 
-// Export tells what was learned up to now.
+// Export returns what was learned so far.
 func (b *Balancer) Export(now time.Duration) Learned {
-	l := Learned{Works: map[string][5]float64{}, Usual: b.usual, Bias: b.bias, MeanLoad: b.meanLoad,
-		Arrivals: b.arrivals, Tries: b.tries, Failed: b.failed, Retries: b.retries, SinceReport: now - b.reported,
-		ReportedAny: b.reported > 0}
-	for i, f := range b.works {
-		l.Works[b.set.Classes[i].Name] = [5]float64{f.n, f.x, f.y, f.xx, f.xy}
+	learned := Learned{Works: map[string][5]float64{}, Usual: b.meanSentLoad, Bias: b.latencyBias,
+		MeanLoad: b.meanLoad, Arrivals: b.arrivalRate, Tries: b.recentAttempts, Failed: b.recentFailures,
+		Retries: b.retryTokens, SinceReport: now - b.lastReportAt, ReportedAny: b.lastReportAt > 0}
+	for i, regression := range b.workEstimators {
+		learned.Works[b.settings.Classes[i].Name] = [5]float64{regression.samples, regression.meanX,
+			regression.meanY, regression.meanXX, regression.meanXY}
 	}
-	for _, s := range b.order {
-		l.Servers = append(l.Servers, LearnedServer{ID: s.ID, Age: b.age(s, now), Speed: s.speed, Doubt: s.doubt,
-			Load: s.load.others, Usual: s.usual, Reported: s.reported, LoadAge: now - s.load.at, Bound: s.bound.most,
-			Aside: s.aside, Wait: s.wait,
-			TrialDue: max(0, s.trialAt-now), Purse: s.purse})
+	for _, s := range b.sortedServers {
+		learned.Servers = append(learned.Servers, LearnedServer{ID: s.ID, Age: b.startAge(s, now),
+			Speed: s.speed, Doubt: s.failureEvidence, Load: s.load.othersMean, Usual: s.meanReported,
+			Reported: s.hasReport, LoadAge: now - s.load.reportedAt, Bound: s.concurrencyLimit.limit,
+			Aside: s.ejected, Wait: s.probationBackoff,
+			TrialDue: max(0, s.probationAt-now), Purse: s.slowStartBudget})
 	}
-	return l
+	return learned
 }
 
-// sameStart is how far two readings of one start may lie apart.
-const sameStart = 50 * time.Millisecond
+// startTolerance is the maximum difference of two estimates of the same start time.
+const startTolerance = 50 * time.Millisecond
 
-func (b *Balancer) age(s *server, now time.Duration) time.Duration {
+// startAge returns the time since the start of s, -1 if that is long ago.
+func (b *Balancer) startAge(s *server, now time.Duration) time.Duration {
 	if s.Started <= 0 {
 		return -1
 	}
 	return now - s.Started
 }
 
-// within tells whether a figure may be taken over: a number from least to most.
-func within(v, least, most float64) bool { return v >= least && v <= most }
+// inRange reports whether value is a number from low to high.
+func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-// Import takes over what another process of this proxy had learned some time ago. What is no possible
-// figure is left out, and so are servers that are not listed or have started since.
-func (b *Balancer) Import(now, ago time.Duration, l Learned) {
+// Import restores what another process of this proxy had learned; ago is the time since then. It
+// ignores values out of range, servers that are not listed, and servers that have restarted since.
+func (b *Balancer) Import(now, ago time.Duration, learned Learned) {
 	b.now = now
-	for i, c := range b.set.Classes {
-		w, ok := l.Works[c.Name]
-		if f := (fit{w[0], w[1], w[2], w[3], w[4]}); ok && within(f.n, 1, math.MaxFloat64) && within(f.x, 0, 1e6) &&
-			within(f.y, 1e-9, 1e6) && within(f.xx, 0, 1e12) && within(f.xy, 0, 1e12) {
-			b.works[i] = f
+	for i, c := range b.settings.Classes {
+		values, ok := learned.Works[c.Name]
+		if regression := (linearRegression{values[0], values[1], values[2], values[3], values[4]}); ok &&
+			inRange(regression.samples, 1, math.MaxFloat64) && inRange(regression.meanX, 0, 1e6) &&
+			inRange(regression.meanY, 1e-9, 1e6) && inRange(regression.meanXX, 0, 1e12) &&
+			inRange(regression.meanXY, 0, 1e12) {
+			b.workEstimators[i] = regression
 		}
 	}
-	for _, v := range []struct {
-		to          *float64
-		from        float64
-		least, most float64
-	}{{&b.usual, l.Usual, 0, 1e6}, {&b.bias, l.Bias, -10, 10}, {&b.meanLoad, l.MeanLoad, 0, 1e6},
-		{&b.arrivals, l.Arrivals, 0, 1e6}, {&b.tries, l.Tries, 0, 1e9}, {&b.failed, l.Failed, 0, 1e9},
-		{&b.retries, l.Retries, 0, retryStock}} {
-		if within(v.from, v.least, v.most) {
-			*v.to = v.from
+	for _, figure := range []struct {
+		to        *float64
+		from      float64
+		low, high float64
+	}{{&b.meanSentLoad, learned.Usual, 0, 1e6}, {&b.latencyBias, learned.Bias, -10, 10},
+		{&b.meanLoad, learned.MeanLoad, 0, 1e6}, {&b.arrivalRate, learned.Arrivals, 0, 1e6},
+		{&b.recentAttempts, learned.Tries, 0, 1e9}, {&b.recentFailures, learned.Failed, 0, 1e9},
+		{&b.retryTokens, learned.Retries, 0, maxRetryTokens}} {
+		if inRange(figure.from, figure.low, figure.high) {
+			*figure.to = figure.from
 		}
 	}
-	if l.ReportedAny {
-		b.reported = max(1, now-ago-max(0, l.SinceReport))
+	if learned.ReportedAny {
+		b.lastReportAt = max(1, now-ago-max(0, learned.SinceReport))
 	}
-	for _, o := range l.Servers {
-		s := b.servers[o.ID]
-		if s == nil || (b.age(s, now-ago)-o.Age).Abs() > sameStart || !within(o.Speed, 0.1, 10) ||
-			!within(o.Doubt, 0, 2*certain) ||
-			!within(o.Load, 0, 1e6) || !within(o.Usual, 0, 1e6) || !within(o.Bound, 0, 1e6) {
+	for _, saved := range learned.Servers {
+		s := b.servers[saved.ID]
+		if s == nil || (b.startAge(s, now-ago)-saved.Age).Abs() > startTolerance ||
+			!inRange(saved.Speed, 0.1, 10) || !inRange(saved.Doubt, 0, 2*ejectionEvidence) ||
+			!inRange(saved.Load, 0, 1e6) || !inRange(saved.Usual, 0, 1e6) || !inRange(saved.Bound, 0, 1e6) {
 			continue
 		}
-		s.speed, s.doubt, s.weighed, s.bound.most = o.Speed, o.Doubt, now, o.Bound
-		if o.Reported {
-			s.usual, s.reported, s.load.at = o.Usual, true, max(1, now-ago-max(0, o.LoadAge))
-			s.load.others, s.load.seen = o.Load, 1
+		s.speed, s.failureEvidence, s.evidenceAt, s.concurrencyLimit.limit = saved.Speed, saved.Doubt, now,
+			saved.Bound
+		if saved.Reported {
+			s.meanReported, s.hasReport, s.load.reportedAt = saved.Usual, true, max(1, now-ago-max(0, saved.LoadAge))
+			s.load.othersMean, s.load.othersWeight = saved.Load, 1
 		}
-		if s.aside = o.Aside; s.aside {
-			s.wait = min(max(firstWait, o.Wait), longestWait)
-			s.trialAt = now + min(max(0, o.TrialDue), longestWait)
+		if s.ejected = saved.Aside; s.ejected {
+			s.probationBackoff = min(max(minBackoff, saved.Wait), maxBackoff)
+			s.probationAt = now + min(max(0, saved.TrialDue), maxBackoff)
 		}
-		// Guards against a cold server's budget spent twice, once by each process.
-		s.purse = min(s.purse, o.Purse)
+		// Otherwise both processes spend the budget of a server in slow start.
+		s.slowStartBudget = min(s.slowStartBudget, saved.Purse)
 	}
-	b.tally()
-	b.reshape()
+	b.updateMeans()
+	b.refreshCapacities()
 }
--- a/learned_test.go
+++ b/learned_test.go
@@ -24,10 +24,10 @@
 	old := fresh(2 * time.Hour)
 	for id, s := range old.servers {
 		s.speed = 0.25
-		s.aside, s.wait, s.trialAt = id == 2, 4*time.Second, old.now+3*time.Second
+		s.ejected, s.probationBackoff, s.probationAt = id == 2, 4*time.Second, old.now+3*time.Second
 	}
 	old.servers[1].speed = math.NaN()
-	old.usual, old.meanLoad = 2.5, math.Inf(1)
+	old.meanSentLoad, old.meanLoad = 2.5, math.Inf(1)
 	said := old.Export(old.now)
 	now := 30 * time.Hour // the next process's clock, a second later
 	b := fresh(now + time.Second)
@@ -37,10 +37,10 @@
 	if s := b.servers; s[1].speed != 1 || s[2].speed != 0.25 || s[3].speed != 0.25 || s[4].speed != 1 {
 		t.Errorf("speeds %v %v %v %v", s[1].speed, s[2].speed, s[3].speed, s[4].speed)
 	}
-	if s := b.servers[2]; !s.aside || s.trialAt != b.now+3*time.Second || s.d != 0 {
-		t.Errorf("aside %t, tried at %v, capacity %v", s.aside, s.trialAt-b.now, s.d)
+	if s := b.servers[2]; !s.ejected || s.probationAt != b.now+3*time.Second || s.capacity != 0 {
+		t.Errorf("aside %t, tried at %v, capacity %v", s.ejected, s.probationAt-b.now, s.capacity)
 	}
-	if b.usual != 2.5 || math.IsInf(b.meanLoad, 0) {
-		t.Errorf("usual %v, mean load %v", b.usual, b.meanLoad)
+	if b.meanSentLoad != 2.5 || math.IsInf(b.meanLoad, 0) {
+		t.Errorf("usual %v, mean load %v", b.meanSentLoad, b.meanLoad)
 	}
 }
--- a/lease_test.go
+++ b/lease_test.go
@@ -16,9 +16,9 @@
 			Budget: time.Second}
 	}
 	looks := func() []Action { // lets a held request be looked at
-		p.now += holdFor
+		p.now += holdInterval
 		var acts []Action
-		for token := range p.b.held {
+		for token := range p.b.heldByToken {
 			acts = append(acts, p.do(Timer{Token: token})...)
 		}
 		return acts
--- a/load.go
+++ b/load.go
@@ -5,94 +5,98 @@
 	"time"
 )
 
-// load is what a proxy knows of the requests that one server holds: its own, which it counts, and those
-// of the others, which it learns from reports. A report is old when it comes, and the same one comes with
-// answer after answer; a server's queue is another one by then. So it counts as it is for a moment only and
-// else moves a slow mean of what others hold there; own attempts count as they are.
-type load struct {
-	out    int           // own attempts outstanding
-	usual  float64       // mean of out over about ownMemory
-	others float64       // mean of what reports had beyond it
-	seen   float64       // reports behind that mean, fading over othersMemory
-	value  float64       // the last report
-	at     time.Duration // when it came; 0: never
-	told   time.Duration // when it last counted as news
+// loadEstimator estimates the in-flight requests of one server: those of this proxy, which are
+// counted, and those of other proxies, which are learned from reports. A report is outdated when it
+// arrives, and answer after answer carries the same one. So a report only counts in full for a
+// short time, and otherwise updates a slow mean of the requests of other proxies.
+type loadEstimator struct {
+	ownInFlight  int           // outstanding attempts of this proxy
+	ownMean      float64       // mean of ownInFlight over about ownMeanTime
+	othersMean   float64       // mean of the reported counts beyond ownMean
+	othersWeight float64       // number of reports behind othersMean, decaying over othersMeanTime
+	lastReport   float64       // most recent report
+	reportedAt   time.Duration // when it arrived; 0 if there was none
+	countedAt    time.Duration // when a report was last counted as new
 }
 
+// Constants of loadEstimator.
 const (
-	ownMemory    = 700 * time.Millisecond // about as old as a report is when it comes
-	othersMemory = 3 * time.Second
-	reportAgain  = time.Second            // an unchanged report counts anew after this
-	priorReports = 3.0                    // the fleet's mean counts as so many reports
-	reportFresh  = 250 * time.Millisecond // in which what a report says beyond the mean falls to a third
+	ownMeanTime       = 700 * time.Millisecond // about the age of a report at its arrival
+	othersMeanTime    = 3 * time.Second
+	reportRepeatAfter = time.Second            // an unchanged report counts as new after this time
+	priorWeight       = 3.0                    // number of reports that the fleet's mean counts as
+	reportFreshTime   = 250 * time.Millisecond // in which the weight of the last report falls to 1/e
 )
 
-// report takes in a reported in-flight count.
-func (l *load) report(v float64, now time.Duration) {
-	if l.at == 0 || v != l.value || now-l.told >= reportAgain {
-		l.seen++
-		l.others += (max(0, v-l.usual) - l.others) / l.seen
-		l.value, l.told = v, now
+// addReport adds a reported in-flight count.
+func (l *loadEstimator) addReport(count float64, now time.Duration) {
+	if l.reportedAt == 0 || count != l.lastReport || now-l.countedAt >= reportRepeatAfter {
+		l.othersWeight++
+		l.othersMean += (max(0, count-l.ownMean) - l.othersMean) / l.othersWeight
+		l.lastReport, l.countedAt = count, now
 	}
-	l.at = max(1, now)
+	l.reportedAt = max(1, now)
 }
 
-// pass lets time go by.
-func (l *load) pass(dt time.Duration) {
-	l.usual += (float64(l.out) - l.usual) * dt.Seconds() / (dt + ownMemory).Seconds()
-	l.seen *= math.Exp(-dt.Seconds() / othersMemory.Seconds())
+// advance decays the means over the duration dt.
+func (l *loadEstimator) advance(dt time.Duration) {
+	l.ownMean += (float64(l.ownInFlight) - l.ownMean) * dt.Seconds() / (dt + ownMeanTime).Seconds()
+	l.othersWeight *= math.Exp(-dt.Seconds() / othersMeanTime.Seconds())
 }
 
-// more takes in that the server must hold about so many more than was thought.
-func (l *load) more(n float64) {
-	l.others += n
-	l.seen++
+// addOthers raises the estimate of other proxies' requests by count.
+func (l *loadEstimator) addOthers(count float64) {
+	l.othersMean += count
+	l.othersWeight++
 }
 
-// held estimates the requests that the server holds, where others hold about so many at one like it.
-func (l *load) held(prior float64, now time.Duration) float64 {
-	others := (l.others*l.seen + prior*priorReports) / (l.seen + priorReports)
-	if age := now - l.told; l.at > 0 && age < 8*reportFresh {
-		others += (max(0, l.value-l.usual) - others) * math.Exp(-age.Seconds()/reportFresh.Seconds())
+// estimate returns the estimated in-flight requests, given a prior for those of other proxies.
+func (l *loadEstimator) estimate(priorOthers float64, now time.Duration) float64 {
+	others := (l.othersMean*l.othersWeight + priorOthers*priorWeight) / (l.othersWeight + priorWeight)
+	if age := now - l.countedAt; l.reportedAt > 0 && age < 8*reportFreshTime {
+		others += (max(0, l.lastReport-l.ownMean) - others) * math.Exp(-age.Seconds()/reportFreshTime.Seconds())
 	}
-	return others + float64(l.out)
+	return others + float64(l.ownInFlight)
 }
 
-// pace is how slow a server's answers lately were: seconds for each second of expected work.
-type pace struct {
-	mean float64
-	n    int
-	at   time.Duration
+// latencyEstimator tracks the ratio of latency to expected work over a server's recent answers.
+type latencyEstimator struct {
+	mean      float64
+	samples   int
+	updatedAt time.Duration
 }
 
+// Constants of latencyEstimator.
 const (
-	paceMemory = time.Second
-	paceGain   = 0.2 // weight of one answer among several within that time
-	paceWeight = 0.5 // what a fresh pace counts against what load lets expect
-	// paceMost bounds what one answer says. Guards against counting twice one that took hundreds of times what
-	// was expected, as after a pause of the machine: it raises what is expected of the next as well.
-	paceMost = 20.0
+	latencyDecayTime = time.Second
+	latencyGain      = 0.2 // weight of one answer among several within that time
+	latencyWeight    = 0.5 // weight of a fresh mean against the expectation from load
+	// maxLatencyRatio limits the ratio of one answer. Otherwise an answer that took hundreds of
+	// times the expected work, as after a pause of the host, counts twice: it also raises the
+	// expected work of the next request.
+	maxLatencyRatio = 20.0
 )
 
-// add takes in one answer, or an attempt that waited as long in vain, which tells nothing if that was short.
-func (p *pace) add(took float64, answered bool, now time.Duration) {
-	took = min(took, paceMost)
-	if !answered && took <= p.mean {
+// add adds the ratio of an answer, or of an attempt that timed out. A timeout below the mean is no
+// information.
+func (e *latencyEstimator) add(ratio float64, answered bool, now time.Duration) {
+	ratio = min(ratio, maxLatencyRatio)
+	if !answered && ratio <= e.mean {
 		return
 	}
-	gain := max(paceGain, -math.Expm1(-(now-p.at).Seconds()/paceMemory.Seconds()))
-	if p.n++; p.n == 1 {
+	gain := max(latencyGain, -math.Expm1(-(now-e.updatedAt).Seconds()/latencyDecayTime.Seconds()))
+	if e.samples++; e.samples == 1 {
 		gain = 1
 	}
-	p.mean += (took - p.mean) * gain
-	p.at = now
+	e.mean += (ratio - e.mean) * gain
+	e.updatedAt = now
 }
 
-// blend raises an expectation towards what was lately measured.
-func (p *pace) blend(expected float64, now time.Duration) float64 {
-	if p.n == 0 || p.mean <= expected {
+// blend raises an expected ratio toward the recent one.
+func (e *latencyEstimator) blend(expected float64, now time.Duration) float64 {
+	if e.samples == 0 || e.mean <= expected {
 		return expected
 	}
-	trust := paceWeight * math.Exp(-(now-p.at).Seconds()/paceMemory.Seconds())
-	return expected + trust*(p.mean-expected)
+	weight := latencyWeight * math.Exp(-(now-e.updatedAt).Seconds()/latencyDecayTime.Seconds())
+	return expected + weight*(e.mean-expected)
 }
--- a/membership.go
+++ b/membership.go
@@ -1,6 +1,6 @@
 package lilacglade
 
-// Timers, and what the list of servers tells.
+// This file handles timers and the server list.
 
 import (
 	"math"
@@ -8,76 +8,82 @@
 	"time"
 )
 
-func (b *Balancer) wake(token uint32) {
+// handleTimer runs the periodic updates, asks for the list, or checks a held request again.
+func (b *Balancer) handleTimer(token uint32) {
 	switch {
 	case token == tickToken:
-		b.timer(tick, tickToken)
-		b.tally()
-		if b.now >= b.refresh {
-			b.reshape()
+		b.setTimer(tickInterval, tickToken)
+		b.updateMeans()
+		if b.now >= b.nextRefresh {
+			b.refreshCapacities()
 		}
 	case token == listToken:
-		b.asking = true
-		b.acts = append(b.acts, Action{Do: Subscribe})
+		b.listRequested = true
+		b.actions = append(b.actions, Action{Do: Subscribe})
 	default:
-		if r := b.requests[b.held[token]]; r != nil && !r.answered && r.out == 0 {
-			b.estimate(r)
+		if r := b.requests[b.heldByToken[token]]; r != nil && !r.answered && r.outstanding == 0 {
+			b.estimateWork(r)
 			b.dispatch(r)
 		}
-		delete(b.held, token)
+		delete(b.heldByToken, token)
 	}
 }
 
-func (b *Balancer) list(ev List) {
+// handleList updates the servers from a list, or schedules the next call if the last one failed.
+func (b *Balancer) handleList(ev List) {
 	if ev.Kind == ListFailed {
-		if b.listWait == 0 {
+		if b.listBackoff == 0 {
 			b.logf("the list is out of reach")
 		}
-		all := time.Duration(b.set.Balancers) * listEvery
-		first := max(interval/4, min(all, max(b.set.AskEvery, all/5)))
-		if b.set.AskEvery > 0 { // what is not asked for in four times that after a failure counts as told
-			all = min(all, 5*b.set.AskEvery/2) // and half as much again is waited at the most
+		fleetWait := time.Duration(b.settings.Balancers) * listRetrySpacing
+		firstWait := max(refreshInterval/4, min(fleetWait, max(b.settings.AskEvery, fleetWait/5)))
+		// Changes that are not asked for within 4 * AskEvery after a failure count as notified, and a
+		// wait is up to 1.5 times listBackoff.
+		if b.settings.AskEvery > 0 {
+			fleetWait = min(fleetWait, 5*b.settings.AskEvery/2)
 		}
-		b.listWait = min(max(first, 2*b.listWait), max(interval, b.set.AskEvery, all))
-		if len(b.order) == 0 { // nobody is served meanwhile, and those who are can wait
-			b.listWait = min(first, max(interval, b.set.AskEvery)/2)
+		b.listBackoff = min(max(firstWait, 2*b.listBackoff), max(refreshInterval, b.settings.AskEvery, fleetWait))
+		if len(b.sortedServers) == 0 { // no request can be served meanwhile, so retry sooner
+			b.listBackoff = min(firstWait, max(refreshInterval, b.settings.AskEvery)/2)
 		}
-		b.timer(b.listWait/2+b.jitter(b.listWait), listToken)
+		b.setTimer(b.listBackoff/2+b.jitter(b.listBackoff), listToken)
 		return
 	}
-	b.listWait = 0
+	b.listBackoff = 0
 	seen := map[ServerID]bool{}
-	for _, l := range ev.Servers {
-		seen[l.ID] = true
-		s := b.servers[l.ID]
-		if l.State == Gone {
+	for _, listed := range ev.Servers {
+		seen[listed.ID] = true
+		s := b.servers[listed.ID]
+		if listed.State == Gone {
 			if s != nil {
-				b.drop(s)
+				b.removeServer(s)
 			}
 			continue
 		}
 		if s == nil {
-			s = b.enlist(l.ID)
+			s = b.addServer(listed.ID)
 		}
-		if l.Started != s.Started {
-			// A process that has just started is cold: its budget starts empty, in debt by
-			// a part of a request that differs between proxies, so they do not all send one.
-			s.reported, s.aside, s.doubt, s.wait = false, false, 0, 0
-			s.load, s.pace, s.bound = load{out: s.load.out}, pace{}, bound{}
-			clear(s.classes)
-			s.purse = -b.uniform() * b.works[0].y
+		if listed.Started != s.Started {
+			// A process that has just started is in slow start. Its budget starts at a negative
+			// fraction of a request that differs between proxies, so that they do not all send one
+			// at once.
+			s.hasReport, s.ejected, s.failureEvidence, s.probationBackoff = false, false, 0, 0
+			s.load, s.latency, s.concurrencyLimit = loadEstimator{ownInFlight: s.load.ownInFlight},
+				latencyEstimator{}, concurrencyLimit{}
+			clear(s.classHealth)
+			s.slowStartBudget = -b.uniform() * b.workEstimators[0].meanY
 		}
-		if s.Server = l; !(l.Weight > 0 && l.Weight < math.MaxFloat32) {
+		if s.Server = listed; !(listed.Weight > 0 && listed.Weight < math.MaxFloat32) {
 			s.Weight = 1
 		}
 	}
 	if ev.Kind != Changes {
-		for _, s := range slices.Clone(b.order) {
+		for _, s := range slices.Clone(b.sortedServers) {
 			if !seen[s.ID] {
-				b.drop(s)
+				b.removeServer(s)
 			}
 		}
 	}
-	b.tally()
-	b.reshape()
+	b.updateMeans()
+	b.refreshCapacities()
 }
--- a/random_test.go
+++ b/random_test.go
@@ -234,8 +234,8 @@
 			give(Outcome{Request: RequestID(rng.IntN(n)) + 1<<20, Server: s.ID, Result: Result(rng.IntN(8))})
 		}
 	}
-	if len(b.requests) != 0 || len(b.held) != 0 {
-		c.fault("leak: %d requests and %d held at the end", len(b.requests), len(b.held))
+	if len(b.requests) != 0 || len(b.heldByToken) != 0 {
+		c.fault("leak: %d requests and %d held at the end", len(b.requests), len(b.heldByToken))
 	}
 	for _, s := range b.servers {
 		if c.down[s.ID] && s.State == Ready {
--- a/retune.go
+++ b/retune.go
@@ -5,77 +5,81 @@
 	"time"
 )
 
-// mostDropped bounds the classes that are kept for requests that began before they were dropped.
-const mostDropped = 64
+// maxRetainedClasses limits the classes kept for requests that began before their class was
+// dropped.
+const maxRetainedClasses = 64
 
-// RetainingClasses returns s as the settings to follow old ones: classes that s no longer has, or has
-// changed, stay behind those that it offers, for requests that have begun under them.
+// RetainingClasses returns s as the successor of the old settings. Classes that s has dropped or
+// changed are appended to those that it offers, for requests that have already begun.
 func (s Settings) RetainingClasses(old Settings) Settings {
-	offered := s.offered()
+	offered := s.offeredClasses()
 	s.Offered, s.Classes = len(offered), slices.Clone(offered)
 	for _, c := range old.Classes {
-		if len(s.Classes) < s.Offered+mostDropped && !slices.Contains(s.Classes, c) {
+		if len(s.Classes) < s.Offered+maxRetainedClasses && !slices.Contains(s.Classes, c) {
 			s.Classes = append(s.Classes, c)
 		}
 	}
 	return s
 }
 
-func (s Settings) offered() []Class {
+// offeredClasses returns the classes offered to new requests.
+func (s Settings) offeredClasses() []Class {
 	if s.Offered == 0 {
 		return s.Classes
 	}
 	return s.Classes[:s.Offered]
 }
 
-// Retune takes new settings, as RetainingClasses returned them, for requests from now on. Those that have
-// begun keep the class and the number of attempts that they began with. On an error nothing changes.
-func (b *Balancer) Retune(now time.Duration, set Settings) error {
-	if err := set.check(); err != nil {
+// Retune applies new settings, as returned by RetainingClasses, to future requests. Requests that
+// have begun keep their class and their number of attempts. On an error nothing changes.
+func (b *Balancer) Retune(now time.Duration, settings Settings) error {
+	if err := settings.check(); err != nil {
 		return err
 	}
 	b.now = now
-	old := b.set
-	same := func(i int) int { // where the class was, or, if it is changed, one of its name; -1: nowhere
-		if at := slices.Index(old.Classes, set.Classes[i]); at >= 0 {
-			return at
+	old := b.settings
+	oldIndex := func(i int) int { // old index of the class, or of the one with its name if it changed, or -1
+		if index := slices.Index(old.Classes, settings.Classes[i]); index >= 0 {
+			return index
 		}
-		return slices.IndexFunc(old.Classes, func(c Class) bool { return c.Name == set.Classes[i].Name })
+		return slices.IndexFunc(old.Classes, func(c Class) bool { return c.Name == settings.Classes[i].Name })
 	}
-	n := len(set.Classes)
-	works, from, tries := make([]fit, n), make([]int, n), make([]firsts, n)
-	// Guards against refusing a new class for work that it is only supposed to be: it counts as an average one.
-	mean := 0.0
-	for _, w := range b.works {
-		mean += w.y / float64(len(b.works))
+	count := len(settings.Classes)
+	workEstimators, oldIndexes, firstAttempts := make([]linearRegression, count), make([]int, count),
+		make([]firstAttemptEstimator, count)
+	// A new class counts as average until it is known. Otherwise it may be shed for a guess of its
+	// work.
+	meanWork := 0.0
+	for _, w := range b.workEstimators {
+		meanWork += w.meanY / float64(len(b.workEstimators))
 	}
-	for i := range set.Classes {
-		works[i] = fit{y: mean}
-		if from[i] = same(i); from[i] >= 0 {
-			works[i], tries[i] = b.works[from[i]], b.firsts[from[i]]
+	for i := range settings.Classes {
+		workEstimators[i] = linearRegression{meanY: meanWork}
+		if oldIndexes[i] = oldIndex(i); oldIndexes[i] >= 0 {
+			workEstimators[i], firstAttempts[i] = b.workEstimators[oldIndexes[i]], b.firstAttempts[oldIndexes[i]]
 		}
 	}
 	for _, s := range b.servers {
-		all := make([]standing, len(set.Classes))
-		for i, at := range from {
-			if at >= 0 {
-				all[i] = s.classes[at]
+		health := make([]classHealth, len(settings.Classes))
+		for i, index := range oldIndexes {
+			if index >= 0 {
+				health[i] = s.classHealth[index]
 			}
 		}
-		s.classes = all
+		s.classHealth = health
 	}
 	for _, r := range b.requests {
-		r.Class = max(0, slices.Index(set.Classes, old.Classes[r.Class]))
+		r.Class = max(0, slices.Index(settings.Classes, old.Classes[r.Class]))
 	}
-	left := b.tenants
-	b.set, b.works, b.firsts, b.tenants = set, works, tries, nil
-	for _, t := range set.Tenants {
-		most := t.Allowance / float64(set.Balancers)
-		if at := slices.IndexFunc(old.Tenants, func(o Tenant) bool { return o.Name == t.Name }); at >= 0 {
-			most = min(most, left[at])
+	oldTokens := b.tenantTokens
+	b.settings, b.workEstimators, b.firstAttempts, b.tenantTokens = settings, workEstimators, firstAttempts, nil
+	for _, t := range settings.Tenants {
+		tokens := t.Allowance / float64(settings.Balancers)
+		if index := slices.IndexFunc(old.Tenants, func(o Tenant) bool { return o.Name == t.Name }); index >= 0 {
+			tokens = min(tokens, oldTokens[index])
 		}
-		b.tenants = append(b.tenants, most)
+		b.tenantTokens = append(b.tenantTokens, tokens)
 	}
-	b.suit()
+	b.deriveFromSettings()
 	return nil
 }
--- a/retune_test.go
+++ b/retune_test.go
@@ -21,13 +21,13 @@
 	b.Handle(time.Hour, List{Kind: FullList, Servers: []Server{{ID: 1}, {ID: 2}}})
 	b.Handle(time.Hour, Request{ID: 1, Class: 0, Tenant: -1, Budget: time.Second})
 	b.Handle(time.Hour, Request{ID: 2, Class: 1, Tenant: -1, Budget: time.Second})
-	b.works[1].y = 0.125
-	b.servers[1].classes[1].fails = 9
-	b.tenants[1] = 0.5
+	b.workEstimators[1].meanY = 0.125
+	b.servers[1].classHealth[1].failures = 9
+	b.tenantTokens[1] = 0.5
 
 	bad := old
 	bad.MaxAttempts = 0
-	if b.Retune(time.Hour, bad) == nil || b.set.MaxAttempts != 3 {
+	if b.Retune(time.Hour, bad) == nil || b.settings.MaxAttempts != 3 {
 		t.Error("impossible settings were taken")
 	}
 	set := old
@@ -40,22 +40,23 @@
 	if len(set.Classes) != 3 || set.Offered != 2 || set.Classes[2].Name != "a" {
 		t.Fatalf("classes %+v, %d offered", set.Classes, set.Offered)
 	}
-	if r := b.requests; r[1].Class != 2 || r[1].class.Name != "a" || r[2].Class != 1 || r[1].most != 3 {
+	if r := b.requests; r[1].Class != 2 || r[1].class.Name != "a" || r[2].Class != 1 || r[1].maxAttempts != 3 {
 		t.Errorf("open requests: %+v %+v", r[1], r[2])
 	}
-	if s := b.servers[1]; b.works[1].y != 0.125 || s.classes[1].fails != 9 || s.classes[0].fails != 0 {
-		t.Errorf("works %+v, standings %+v", b.works, s.classes)
+	if s := b.servers[1]; b.workEstimators[1].meanY != 0.125 || s.classHealth[1].failures != 9 ||
+		s.classHealth[0].failures != 0 {
+		t.Errorf("works %+v, standings %+v", b.workEstimators, s.classHealth)
 	}
-	if want := (0.25 + 0.125) / 2; b.works[0].y != want {
-		t.Errorf("a new class is taken for work of %v, want the mean %v", b.works[0].y, want)
+	if want := (0.25 + 0.125) / 2; b.workEstimators[0].meanY != want {
+		t.Errorf("a new class is taken for work of %v, want the mean %v", b.workEstimators[0].meanY, want)
 	}
-	if b.tenants[0] != 0.5 || b.tenants[1] != 15 {
-		t.Errorf("allowances %v", b.tenants)
+	if b.tenantTokens[0] != 0.5 || b.tenantTokens[1] != 15 {
+		t.Errorf("allowances %v", b.tenantTokens)
 	}
 	if again := old.RetainingClasses(set); len(again.Classes) != 3 || again.Classes[2].Name != "c" {
 		t.Errorf("back again: %+v", again.Classes)
 	}
-	server := b.requests[1].tried[0].ID
+	server := b.requests[1].attempted[0].ID
 	for _, a := range b.Handle(time.Hour, Outcome{Request: 1, Server: server, Closed: true, Latency: 1}) {
 		t.Errorf("asked for %+v", a)
 	}
--- a/settings.go
+++ b/settings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// check reports the first setting that no deployment can mean, by its name.
+// check returns an error that names the first invalid setting.
 func (s *Settings) check() error {
 	if s.Balancers < 1 {
 		return fmt.Errorf("Balancers is %d, want at least 1", s.Balancers)
@@ -34,15 +34,16 @@
 		case c.Aim <= 0:
 			return fmt.Errorf("%s.Aim is %v, want more than 0", where, c.Aim)
 		}
-		if err := amounts(where, map[string]float64{"Worth": c.Worth, "LateWorth": c.LateWorth}); err != nil {
+		if err := checkNumbers(where, map[string]float64{"Worth": c.Worth, "LateWorth": c.LateWorth}); err != nil {
 			return err
 		}
-		if err := spans(where, map[string]time.Duration{"Deadline": c.Deadline, "Memory": c.Memory}); err != nil {
+		if err := checkDurations(where, map[string]time.Duration{"Deadline": c.Deadline,
+			"Memory": c.Memory}); err != nil {
 			return err
 		}
 	}
 	for i, t := range s.Tenants {
-		err := amounts(fmt.Sprintf("Tenants[%d]", i), map[string]float64{"Allowance": t.Allowance})
+		err := checkNumbers(fmt.Sprintf("Tenants[%d]", i), map[string]float64{"Allowance": t.Allowance})
 		if err != nil {
 			return err
 		}
@@ -50,18 +51,19 @@
 	if s.ColdShare > 1 {
 		return fmt.Errorf("Settings.ColdShare is %v, want at most 1", s.ColdShare)
 	}
-	if err := amounts("Settings", map[string]float64{"OverShareWorth": s.OverShareWorth,
+	if err := checkNumbers("Settings", map[string]float64{"OverShareWorth": s.OverShareWorth,
 		"CrossZonePrice": s.CrossZonePrice, "HeldPrice": s.HeldPrice, "ColdShare": s.ColdShare,
 		"TipMultiple": s.TipMultiple}); err != nil {
 		return err
 	}
-	return spans("Settings", map[string]time.Duration{"AskEvery": s.AskEvery, "MaxRetryAfter": s.MaxRetryAfter,
-		"ConnectTimeout": s.ConnectTimeout, "WarmWithin": s.WarmWithin, "TipWindow": s.TipWindow,
-		"DrainGrace": s.DrainGrace, "AnswerSlack": s.AnswerSlack})
+	return checkDurations("Settings", map[string]time.Duration{"AskEvery": s.AskEvery,
+		"MaxRetryAfter": s.MaxRetryAfter, "ConnectTimeout": s.ConnectTimeout, "WarmWithin": s.WarmWithin,
+		"TipWindow": s.TipWindow, "DrainGrace": s.DrainGrace, "AnswerSlack": s.AnswerSlack})
 }
 
-// amounts reports a value that is negative or no number. Of several it names any one.
-func amounts(where string, values map[string]float64) error {
+// checkNumbers returns an error for a value that is negative, infinite or not a number. If several
+// are, it names any of them.
+func checkNumbers(where string, values map[string]float64) error {
 	for name, v := range values {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return fmt.Errorf("%s.%s is %v, want a number from 0 on", where, name, v)
@@ -70,9 +72,9 @@
 	return nil
 }
 
-// spans reports a time that is negative.
-func spans(where string, times map[string]time.Duration) error {
-	for name, d := range times {
+// checkDurations returns an error for a negative duration.
+func checkDurations(where string, durations map[string]time.Duration) error {
+	for name, d := range durations {
 		if d < 0 {
 			return fmt.Errorf("%s.%s is %v, want a time from 0 on", where, name, d)
 		}
--- a/state.go
+++ b/state.go
@@ -8,337 +8,356 @@
 	"time"
 )
 
-// server is one server as this proxy sees it.
+// server is the state that this proxy keeps of one server.
 type server struct {
 	Server
-	own      []int   // ranges it owns, of which at most one in part
-	speed    float64 // learned, as a multiple of the listed weight
-	base     float64 // capacity before load: weight x speed x warmth
-	d        float64 // capacity as the sieve has it
-	reported bool    // since it started
-	usual    float64 // mean of the reported counts over about an interval
-	load     load
-	pace     pace
-	bound    bound
-	doubt    float64 // evidence that it is lost: a logarithm of odds, 0 when there is none
-	weighed  time.Duration
-	classes  []standing
-	aside    bool
-	trialAt  time.Duration
-	wait     time.Duration
-	okAt     time.Duration // its last answer
-	purse    float64       // work that this proxy may send it while it is cold
-	burst    float64       // the most that purse may hold
-	draw     float64       // its place in this proxy's order of servers
-	mine     bool          // it is of the part that this proxy works with
+	ownedRanges        []int   // indices into Balancer.ranges, of which at most one is partly owned
+	speed              float64 // learned speed, as a multiple of the listed weight
+	baseCapacity       float64 // weight x speed x warm-up fraction
+	capacity           float64 // capacity in the sieve
+	hasReport          bool    // whether a load report came since its start
+	meanReported       float64 // mean of the reported in-flight counts over about refreshInterval
+	load               loadEstimator
+	latency            latencyEstimator
+	concurrencyLimit   concurrencyLimit
+	failureEvidence    float64 // log odds that it is lost; 0 without evidence
+	evidenceAt         time.Duration
+	classHealth        []classHealth
+	ejected            bool
+	probationAt        time.Duration
+	probationBackoff   time.Duration
+	lastSuccess        time.Duration // time of the last answer
+	slowStartBudget    float64       // work in seconds that this proxy may send it during slow start
+	maxSlowStartBudget float64       // upper limit of slowStartBudget
+	subsetRank         float64       // position in this proxy's subset order, before its weight counts
+	inSubset           bool          // whether this proxy sends to it
 }
 
-// standing is what the attempts of one class say of a server.
-type standing struct {
-	fails float64 // not yet outweighed by answers
-	wait  time.Duration
-	until time.Duration // barred until then
-	okAt  time.Duration // its last answer
+// classHealth is the health of a server for the requests of one class.
+type classHealth struct {
+	failures     float64 // halved by each answer
+	backoff      time.Duration
+	blockedUntil time.Duration // sent nothing of the class until then
+	lastSuccess  time.Duration // time of the last answer
 }
 
-// request is a request not yet answered, or with attempts still out.
+// request is a request that is not answered yet or still has outstanding attempts.
 type request struct {
 	Request
-	class    *Class
-	key      uint64
-	work     float64       // expected, in seconds
-	over     bool          // beyond its tenant's allowance
-	elapsed  time.Duration // since the caller's first try, as far as it shows
-	most     int           // attempts that it may have
-	rank     float64       // what it is worth for its work, against the best
-	wanted   time.Duration // after its arrival
-	arrived  time.Duration
-	deadline time.Duration
-	tried    []*server
-	loads    []float64 // load for its size of each server tried, when it was sent there
-	out      int
-	ran      *server       // where it may have run first
-	ranAt    time.Duration // and when that attempt was sent
-	sentAt   time.Duration
-	broke    bool // the last attempt's connection broke
-	answered bool
-	stream   bool
-	held     bool // for want of room
-	waits    bool // it is in Balancer.waiting
+	class            *Class
+	key              uint64
+	work             float64       // expected work, in seconds
+	overAllowance    bool          // beyond its tenant's allowance
+	elapsed          time.Duration // estimated time since the client's first attempt
+	maxAttempts      int           // attempts that it may have
+	relativeWorth    float64       // worth for its work relative to the best, 0..1
+	targetLatency    time.Duration // after its arrival
+	arrivedAt        time.Duration
+	deadline         time.Duration
+	attempted        []*server
+	sentLoads        []float64 // load per weight of each attempted server at sending
+	outstanding      int
+	mayHaveRunOn     *server       // server of the first attempt that may have run
+	mayHaveRunSentAt time.Duration // when that attempt was sent
+	sentAt           time.Duration
+	connectionBroke  bool // connection of the last attempt broke
+	answered         bool
+	cannotResend     bool
+	wasHeld          bool // for lack of headroom
+	queued           bool // whether it is in Balancer.waitQueue
 }
 
-// slot is one range of the sieve.
-type slot struct {
-	s    *server
-	part float64
+// sieveRange is one range of the sieve. Its owner owns the given fraction (0..1) of it.
+type sieveRange struct {
+	owner    *server
+	fraction float64
 }
 
-// Balancer decides for one proxy. New makes one.
+// Balancer makes the decisions of one proxy. New creates one.
 type Balancer struct {
-	set      Settings
-	rng      uint64
-	servers  map[ServerID]*server
-	order    []*server // by id
-	requests map[RequestID]*request
-	held     map[uint32]RequestID
-	waiting  []RequestID // held requests that were looked at again in vain, the first first; some may have ended
-	token    uint32
-	acts     []Action
-	started  bool
-	now      time.Duration
+	settings      Settings
+	rngState      uint64
+	servers       map[ServerID]*server
+	sortedServers []*server // by id
+	requests      map[RequestID]*request
+	heldByToken   map[uint32]RequestID
+	// Held requests that found no headroom at a second check either, oldest first. Some
+	// may have ended.
+	waitQueue []RequestID
+	lastToken uint32
+	actions   []Action
+	started   bool
+	now       time.Duration
 
-	ranges  []slot
-	total   float64 // sum of the servers' d
-	expired bool    // the list must not be used to send by
-	noneUp  bool    // every capacity is zero: base capacities count
-	refresh time.Duration
+	ranges        []sieveRange
+	totalCapacity float64 // sum of the servers' capacities
+	listExpired   bool    // the list lease has expired: nothing may be sent
+	allEjected    bool    // every capacity is zero, so ejections are ignored
+	nextRefresh   time.Duration
 
-	meanLoad float64       // in-flight count for each unit of base capacity
-	others   float64       // the part of it that is not this proxy's
-	meanWork float64       // of the requests that lately arrived, in seconds
-	meanSlow float64       // expected latency for each unit of work, over the fleet
-	usual    float64       // mean load for their size of servers when sent to
-	bias     float64       // mean error of the expected latency, in logarithms
-	works    []fit         // work of each class, by its hint
-	firsts   []firsts      // of each class
-	reported time.Duration // when the last load report came
-	arrivals float64       // work arriving here a second
-	arrived  float64       // since the last tick
-	tenants  []float64     // allowance left in each tenant's bucket
-	retries  float64
-	homely   bool          // servers of the own zone go first
-	sharers  time.Duration // how many proxies may send to one server
-	peers    float64       // how many do, by its part of the servers
-	drawn    []*server     // servers in this proxy's order
-	due      []*server     // cold servers that this proxy's budget has something for
-	tries    float64       // attempts that ended lately at sound servers
-	failed   float64       // and those of them that failed
-	refused  int           // requests since the last refresh
-	refusing bool
-	counts   [hotCounts]float64 // lately arrived requests, by key
-	counted  float64
-	asking   bool
-	listWait time.Duration
-	logged   int
+	meanLoad            float64                 // in-flight count per unit of base capacity
+	meanOthersLoad      float64                 // the part of it that other proxies sent
+	meanWork            float64                 // mean over recent requests, in seconds
+	meanRelativeLatency float64                 // over the fleet
+	meanSentLoad        float64                 // mean load per weight of servers at sending
+	latencyBias         float64                 // mean error of the expected latency, as a logarithm
+	workEstimators      []linearRegression      // work of each class as a function of the request's cost hint
+	firstAttempts       []firstAttemptEstimator // of each class
+	lastReportAt        time.Duration           // when the last load report came
+	arrivalRate         float64                 // work arriving at this proxy per second, in seconds
+	arrivedWork         float64                 // work since the last tick, in seconds
+	tenantTokens        []float64               // remaining tokens of each tenant's bucket
+	retryTokens         float64
+	preferLocalZone     bool          // servers of the local zone are preferred
+	maxSharingProxies   time.Duration // upper bound of the number of proxies that send to one server
+	proxiesPerServer    float64       // number of proxies that send to one server, from the subset size
+	subsetOrder         []*server     // servers in this proxy's subset order
+	slowStartDue        []*server     // servers in slow start with a positive budget
+	recentAttempts      float64       // attempts that ended recently at healthy servers, decaying
+	recentFailures      float64       // failed ones among recentAttempts
+	shedCount           int           // requests shed since the last refresh
+	shedding            bool
+	keyCounts           [keyCounters]float64 // recent requests by key, decaying
+	keyTotal            float64
+	listRequested       bool
+	listBackoff         time.Duration
+	loggedLines         int
 }
 
-// New returns a Balancer for one proxy. The seed feeds only what must differ between
-// proxies (jitter, requests without a key); the sieve's functions are the same everywhere.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.check(); err != nil {
+// New returns a Balancer for one proxy. The seed only feeds what must differ between proxies
+// (jitter and the sieve position of requests without a key). The hash functions of the sieve are
+// the same at every proxy.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	b := &Balancer{set: set, rng: seed, servers: map[ServerID]*server{},
-		requests: map[RequestID]*request{}, held: map[uint32]RequestID{}, token: firstToken, noneUp: true,
-		ranges: make([]slot, 2), retries: retryStock, meanSlow: 1,
-		firsts: make([]firsts, len(set.Classes)), peers: float64(set.Balancers)}
-	for _, c := range set.Classes {
-		b.works = append(b.works, fit{y: c.Aim.Seconds() / 4})
-		b.meanWork += c.Aim.Seconds() / 4 / float64(len(set.Classes))
+	b := &Balancer{settings: settings, rngState: seed, servers: map[ServerID]*server{},
+		requests: map[RequestID]*request{}, heldByToken: map[uint32]RequestID{}, lastToken: firstHoldToken,
+		allEjected: true, ranges: make([]sieveRange, 2), retryTokens: maxRetryTokens, meanRelativeLatency: 1,
+		firstAttempts:    make([]firstAttemptEstimator, len(settings.Classes)),
+		proxiesPerServer: float64(settings.Balancers)}
+	for _, c := range settings.Classes {
+		b.workEstimators = append(b.workEstimators, linearRegression{meanY: c.Aim.Seconds() / 4})
+		b.meanWork += c.Aim.Seconds() / 4 / float64(len(settings.Classes))
 	}
-	for _, t := range set.Tenants {
-		b.tenants = append(b.tenants, t.Allowance/float64(set.Balancers))
+	for _, t := range settings.Tenants {
+		b.tenantTokens = append(b.tenantTokens, t.Allowance/float64(settings.Balancers))
 	}
-	b.suit()
+	b.deriveFromSettings()
 	return b, nil
 }
 
-// suit sets what follows from the settings alone.
-func (b *Balancer) suit() {
-	// The own zone goes first where leaving it costs what the load on more servers is worth. Guards
-	// against a fleet in which every proxy holds a connection to every server: their number grows with
-	// that of the proxies, each has little to do, and each proxy learns little of each server.
-	zones := float64(max(1, b.set.Zones))
-	legs := b.set.HeldPrice / 100 * float64(b.set.Balancers) * (zones - 1) / zones
-	b.sharers, b.homely = time.Duration(b.set.Balancers), b.set.CrossZonePrice+legs >= zoneWorth*(zones-1)
-	if b.homely {
-		b.sharers /= time.Duration(zones)
+// deriveFromSettings sets the fields that depend on the settings alone.
+func (b *Balancer) deriveFromSettings() {
+	// Prefer the local zone if leaving it costs more than balancing over more servers is worth.
+	// Otherwise every proxy of a large fleet holds a connection to every server: the number of
+	// connections grows with the number of proxies, each carries little traffic, and each proxy
+	// learns little about each server.
+	zones := float64(max(1, b.settings.Zones))
+	heldConnectionsPrice := b.settings.HeldPrice / 100 * float64(b.settings.Balancers) * (zones - 1) / zones
+	b.maxSharingProxies, b.preferLocalZone = time.Duration(b.settings.Balancers),
+		b.settings.CrossZonePrice+heldConnectionsPrice >= extraZoneWorth*(zones-1)
+	if b.preferLocalZone {
+		b.maxSharingProxies /= time.Duration(zones)
 	}
 }
 
-func (b *Balancer) timer(after time.Duration, token uint32) {
-	b.acts = append(b.acts, Action{Do: SetTimer, For: after, Token: token})
+func (b *Balancer) setTimer(after time.Duration, token uint32) {
+	b.actions = append(b.actions, Action{Do: SetTimer, For: after, Token: token})
 }
 
-// logLines bounds what one proxy logs.
-const logLines = 100
+// maxLogLines limits the number of lines that one proxy logs.
+const maxLogLines = 100
 
-// logAfter is how many refusals between two refreshes an operator should hear of.
-const logAfter = 10
+// shedLogThreshold is the number of requests shed between two refreshes above which a line is
+// logged.
+const shedLogThreshold = 10
 
-// logServer logs a line about one server, whose name whoever prints it may know.
+// logServer logs a line about one server. The action names the server, for a reader that knows its
+// address.
 func (b *Balancer) logServer(s *server, format string, args ...any) {
-	before := len(b.acts)
+	before := len(b.actions)
 	b.logf("server %x %s", uint64(s.ID), fmt.Sprintf(format, args...))
-	for i := range b.acts[before:] {
-		b.acts[before+i].Server = s.ID
+	for i := range b.actions[before:] {
+		b.actions[before+i].Server = s.ID
 	}
 }
 
+// logf logs a line, up to maxLogLines.
 func (b *Balancer) logf(format string, args ...any) {
-	if b.logged++; b.logged <= logLines {
-		b.acts = append(b.acts, Action{Do: Log, Text: fmt.Sprintf(format, args...)})
+	if b.loggedLines++; b.loggedLines <= maxLogLines {
+		b.actions = append(b.actions, Action{Do: Log, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// mix scrambles x (the finisher of SplitMix64).
+// mix is the finalizer of SplitMix64, a bijective hash.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
+// random returns the next number of the SplitMix64 generator.
 func (b *Balancer) random() uint64 {
-	b.rng += 0x9e3779b97f4a7c15
-	return mix(b.rng)
+	b.rngState += 0x9e3779b97f4a7c15
+	return mix(b.rngState)
 }
 
+// uniform returns a random number from 0 to 1, 1 excluded.
 func (b *Balancer) uniform() float64 { return float64(b.random()>>11) / (1 << 53) }
 
-func (b *Balancer) jitter(most time.Duration) time.Duration {
-	return time.Duration(b.uniform() * float64(most))
+// jitter returns a random duration below limit.
+func (b *Balancer) jitter(limit time.Duration) time.Duration {
+	return time.Duration(b.uniform() * float64(limit))
 }
 
-// Handle takes one event at the given time and returns what to do about it. The slice
-// is used again by the next call.
+// Handle processes one event at the given time and returns the resulting actions. The slice is
+// reused by the next call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
-	b.acts, b.now = b.acts[:0], now
+	b.actions, b.now = b.actions[:0], now
 	if !b.started {
 		b.started = true
-		b.timer(tick, tickToken)
-		if b.set.AskForList {
-			b.timer(b.jitter(min(b.set.AskEvery/5, interval)), listToken)
+		b.setTimer(tickInterval, tickToken)
+		if b.settings.AskForList {
+			b.setTimer(b.jitter(min(b.settings.AskEvery/5, refreshInterval)), listToken)
 		}
 	}
 	switch ev := ev.(type) {
 	case Request:
-		b.arrive(ev)
+		b.handleRequest(ev)
 	case Outcome:
-		b.outcome(ev)
+		b.handleOutcome(ev)
 	case AnswerStarted:
 		if r := b.requests[ev.Request]; r != nil {
-			r.stream = true
+			r.cannotResend = true
 		}
 	case Departed:
 		if r := b.requests[ev.Request]; r != nil {
-			b.end(r)
+			b.closeRequest(r)
 		}
 	case Timer:
-		b.wake(ev.Token)
+		b.handleTimer(ev.Token)
 	case List:
-		b.list(ev)
+		b.handleList(ev)
 	case ListLease:
-		b.expired = ev.Expired
+		b.listExpired = ev.Expired
 	}
-	return b.acts
+	return b.actions
 }
 
-// end forgets r once nothing of it is out.
-func (b *Balancer) end(r *request) {
+// closeRequest marks r as answered and forgets it once no attempt is outstanding.
+func (b *Balancer) closeRequest(r *request) {
 	r.answered = true
-	if r.out == 0 {
+	if r.outstanding == 0 {
 		delete(b.requests, r.ID)
 	}
 }
 
-// drop forgets a server that is gone.
-func (b *Balancer) drop(s *server) {
-	b.resize(s, 0)
+// removeServer forgets a server that is gone and frees its ranges.
+func (b *Balancer) removeServer(s *server) {
+	b.setCapacity(s, 0)
 	s.State = Gone
 	delete(b.servers, s.ID)
-	b.order = slices.DeleteFunc(b.order, func(o *server) bool { return o == s })
+	b.sortedServers = slices.DeleteFunc(b.sortedServers, func(o *server) bool { return o == s })
 }
 
-// enlist makes room for a server that is new, in the order of ids.
-func (b *Balancer) enlist(id ServerID) *server {
-	s := &server{speed: 1, Server: Server{Weight: 1}, classes: make([]standing, len(b.set.Classes)),
-		draw: b.draw(id), mine: true}
+// addServer adds a new server and keeps sortedServers sorted by id.
+func (b *Balancer) addServer(id ServerID) *server {
+	s := &server{speed: 1, Server: Server{Weight: 1}, classHealth: make([]classHealth, len(b.settings.Classes)),
+		subsetRank: b.subsetRank(id), inSubset: true}
 	b.servers[id] = s
-	at, _ := slices.BinarySearchFunc(b.order, id, func(s *server, id ServerID) int {
+	index, _ := slices.BinarySearchFunc(b.sortedServers, id, func(s *server, id ServerID) int {
 		return cmp.Compare(s.ID, id)
 	})
-	b.order = slices.Insert(b.order, at, s)
+	b.sortedServers = slices.Insert(b.sortedServers, index, s)
 	return s
 }
 
-// Timer tokens below firstToken have a fixed use; the others wake held requests.
+// Timer tokens below firstHoldToken have a fixed use. The others wake held requests.
 const (
 	tickToken uint32 = iota
 	listToken
-	firstToken
+	firstHoldToken
 )
 
-// hotCounts is the number of counters that keys share; a hot key stands out from what it
-// shares its counter with.
-const hotCounts = 1024
+// keyCounters is the number of counters shared by all keys. A hot key stands out from the other
+// keys of its counter.
+const keyCounters = 1024
 
-// share is the part of the lately arrived requests that carry r's key, 0 below what chance brings.
-func (b *Balancer) share(r *request) float64 {
-	if n := b.counts[r.key%hotCounts]; r.HasKey && n > 1 {
-		return (n - 1) / b.counted
+// keyShare returns the fraction of recent requests that carry r's key, 0 if no more than one did.
+func (b *Balancer) keyShare(r *request) float64 {
+	if count := b.keyCounts[r.key%keyCounters]; r.HasKey && count > 1 {
+		return (count - 1) / b.keyTotal
 	}
 	return 0
 }
 
-// report takes in a server's load report.
-func (b *Balancer) report(s *server, load LoadReport) {
-	for i := range min(load.N, len(b.set.Report)) {
-		if v := load.Values[i]; b.set.Report[i] == LoadInFlight && v >= 0 && !math.IsInf(v, 0) {
-			if !s.reported {
-				s.usual = v
+// addLoadReport records a server's load report.
+func (b *Balancer) addLoadReport(s *server, report LoadReport) {
+	for i := range min(report.N, len(b.settings.Report)) {
+		if value := report.Values[i]; b.settings.Report[i] == LoadInFlight && value >= 0 && !math.IsInf(value, 0) {
+			if !s.hasReport {
+				s.meanReported = value
 			}
-			s.usual += (v - s.usual) * -math.Expm1(-(b.now-s.load.at).Seconds()/interval.Seconds())
-			s.load.report(v, b.now)
-			s.reported, b.reported = true, b.now
+			s.meanReported += (value - s.meanReported) *
+				-math.Expm1(-(b.now-s.load.reportedAt).Seconds()/refreshInterval.Seconds())
+			s.load.addReport(value, b.now)
+			s.hasReport, b.lastReportAt = true, b.now
 		}
 	}
 }
 
-// weigh takes the end of an attempt into what is held against s: how much likelier it is at a lost
-// server than at a sound one. Evidence of single servers would gather slowly where a proxy has little
-// traffic for each; so what counts as usual is learned from all of them, and where failures are rare a
-// single one says enough. Attempts at servers in doubt hardly count as usual. Odds are those of this failure
-// at a sound server, where more is known of it. They guard against callers who wait no longer than a heavy
-// request takes, whose time-outs looked like a loss.
-func (b *Balancer) weigh(s *server, failed bool, odds float64) {
-	if !s.aside { // else only trials tell
-		s.doubt *= math.Exp(-(b.now - s.weighed).Seconds() / doubtFade.Seconds())
+// addEvidence updates the failure evidence of s with the end of an attempt, by the log of how much
+// more likely it is at a lost server than at a healthy one. A proxy with little traffic per server
+// would gather evidence slowly, so the usual failure rate is learned over all servers: where
+// failures are rare, a single one is strong evidence. Attempts at suspect servers hardly count
+// toward the usual rate.
+//
+// The parameter probability is that of this failure at a healthy server, where more is known about
+// it than the usual rate. Otherwise clients that wait no longer than a heavy request takes make a
+// healthy server look lost.
+func (b *Balancer) addEvidence(s *server, failed bool, probability float64) {
+	if !s.ejected { // an ejected server only gains or loses evidence by attempts
+		s.failureEvidence *= math.Exp(-(b.now - s.evidenceAt).Seconds() / evidenceDecayTime.Seconds())
 	}
-	s.weighed = b.now
-	usual := min(lostFails/1.5, (soundFails+b.failed)/(soundTries+b.tries))
-	says := math.Log((1 - lostFails) / (1 - usual))
+	s.evidenceAt = b.now
+	usualFailureRate := min(lostFailureRate/1.5,
+		(priorFailures+b.recentFailures)/(priorAttempts+b.recentAttempts))
+	evidence := math.Log((1 - lostFailureRate) / (1 - usualFailureRate))
 	if failed {
-		says = max(0, math.Log(lostFails/max(usual, odds)))
+		evidence = max(0, math.Log(lostFailureRate/max(usualFailureRate, probability)))
 	}
-	s.doubt = max(0, min(2*certain, s.doubt+says)) // so that a few answers bring a server back
-	sound := 1 / (1 + math.Exp(s.doubt-certain))
-	b.tries, b.failed = b.tries*soundFade+sound, b.failed*soundFade
+	// Limited, so that a few answers readmit a server.
+	s.failureEvidence = max(0, min(2*ejectionEvidence, s.failureEvidence+evidence))
+	healthyWeight := 1 / (1 + math.Exp(s.failureEvidence-ejectionEvidence))
+	b.recentAttempts, b.recentFailures = b.recentAttempts*failureRateDecay+healthyWeight,
+		b.recentFailures*failureRateDecay
 	if failed {
-		b.failed += sound
+		b.recentFailures += healthyWeight
 	}
 }
 
-// bounded tells whether a server in use has shown how much it takes.
-func (b *Balancer) bounded() bool {
-	return slices.ContainsFunc(b.order, func(s *server) bool {
-		return s.State == Ready && !s.aside && s.bound.most > 0
+// anyConcurrencyLimit reports whether the concurrency limit of a server in use is known.
+func (b *Balancer) anyConcurrencyLimit() bool {
+	return slices.ContainsFunc(b.sortedServers, func(s *server) bool {
+		return s.State == Ready && !s.ejected && s.concurrencyLimit.limit > 0
 	})
 }
 
-// asides counts the servers that are set aside.
-func (b *Balancer) asides() (n int) {
-	for _, s := range b.order {
-		if s.aside {
+// ejectedCount returns the number of ejected servers.
+func (b *Balancer) ejectedCount() (n int) {
+	for _, s := range b.sortedServers {
+		if s.ejected {
 			n++
 		}
 	}
 	return n
 }
 
-// Skipped counts the ready servers that get no requests but trials, for operators.
+// Skipped returns the number of ready servers that get only probation attempts, for operators.
 func (b *Balancer) Skipped() (n int) {
-	for _, s := range b.order {
-		if s.aside && s.State == Ready && !b.noneUp {
+	for _, s := range b.sortedServers {
+		if s.ejected && s.State == Ready && !b.allEjected {
 			n++
 		}
 	}
--- a/part_test.go
+++ b/subset_test.go
@@ -18,12 +18,12 @@
 			t.Fatal(err)
 		}
 		b.Handle(time.Second, List{Servers: servers})
-		for _, s := range b.order {
-			s.aside = lost[s.ID]
+		for _, s := range b.sortedServers {
+			s.ejected = lost[s.ID]
 		}
-		b.portion()
-		for _, s := range b.order {
-			if s.mine && !s.aside {
+		b.selectSubset()
+		for _, s := range b.sortedServers {
+			if s.inSubset && !s.ejected {
 				sharers[s.ID]++
 			}
 		}
@@ -40,7 +40,7 @@
 		servers, lost := fleet(n.servers), map[ServerID]bool{}
 		for i := range servers {
 			servers[i].Weight = 1 + float64(i%3)
-			if i%3 == 1 && n.proxies > sharersMost {
+			if i%3 == 1 && n.proxies > targetProxiesPerServer {
 				lost[servers[i].ID] = true
 			}
 		}
@@ -51,10 +51,10 @@
 				if gone[s.ID] {
 					continue
 				}
-				fair := min(float64(n.proxies), max(sharersMost*float64(n.servers)/sound,
-					partLeast*float64(n.proxies)/sound))
+				fair := min(float64(n.proxies), max(targetProxiesPerServer*float64(n.servers)/sound,
+					minSubset*float64(n.proxies)/sound))
 				got := float64(sharers[s.ID])
-				if n.proxies <= sharersMost && got != float64(n.proxies) || got < 0.1*fair || got > 3*fair {
+				if n.proxies <= targetProxiesPerServer && got != float64(n.proxies) || got < 0.1*fair || got > 3*fair {
 					t.Errorf("%v, %d lost: %v proxies work with a server of weight %v, %v is fair", n, len(gone),
 						got, s.Weight, fair)
 				}
@@ -70,12 +70,12 @@
 	moved, places := 0, 0
 	for _, b := range all {
 		was := map[ServerID]bool{}
-		for _, s := range b.order {
-			was[s.ID] = s.mine
+		for _, s := range b.sortedServers {
+			was[s.ID] = s.inSubset
 		}
 		b.Handle(2*time.Second, List{Kind: Changes, Servers: servers[160:]})
-		for _, s := range b.order {
-			if s.mine && !was[s.ID] {
+		for _, s := range b.sortedServers {
+			if s.inSubset && !was[s.ID] {
 				moved++
 			}
 		}
@@ -95,27 +95,27 @@
 	set.Balancers, set.Me = 300, 7
 	p := newProxy(t, set, 1, fleet(100)...)
 	count := func() (n int) {
-		for _, s := range p.b.order {
-			if s.mine {
+		for _, s := range p.b.sortedServers {
+			if s.inSubset {
 				n++
 			}
 		}
 		return n
 	}
 	few := count()
-	p.b.arrivals, p.b.meanSlow = 8, 1
-	if p.b.portion(); count() < 2*few {
+	p.b.arrivalRate, p.b.meanRelativeLatency = 8, 1
+	if p.b.selectSubset(); count() < 2*few {
 		t.Errorf("%d servers for 8 requests in work, %d for none", count(), few)
 	}
-	p.b.arrivals = 0
-	p.b.portion()
-	for _, s := range p.b.order {
-		if s.mine {
-			s.load.out = 5
+	p.b.arrivalRate = 0
+	p.b.selectSubset()
+	for _, s := range p.b.sortedServers {
+		if s.inSubset {
+			s.load.ownInFlight = 5
 		}
 	}
-	r := &request{class: &p.b.set.Classes[0], work: 0.01, rank: 1}
-	if s := p.b.pick(r); s == nil || s.mine {
+	r := &request{class: &p.b.settings.Classes[0], work: 0.01, relativeWorth: 1}
+	if s := p.b.selectServer(r); s == nil || s.inSubset {
 		t.Errorf("a full part leaves %v for a request", s)
 	}
 }
