--- a/internal/council/log.go
+++ b/internal/coordination/log.go
@@ -1,12 +1,12 @@
-package council
+package coordination
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"lilacglade/internal/agree"
-	"lilacglade/internal/workorder"
+	"lilacglade/internal/consensus"
+	"lilacglade/internal/maintenance"
 )
 
 // settle does what the log wants done, and what this one has to say to itself.
@@ -22,7 +22,7 @@
 		if c.core == nil {
 			continue
 		}
-		out, err := c.core.Next(func() []byte { return workorder.Encode(c.rep) })
+		out, err := c.core.Next(func() []byte { return maintenance.Encode(c.rep) })
 		if err != nil {
 			c.core = nil
 			c.do(Retire{err.Error()})
@@ -39,13 +39,13 @@
 }
 
 // carry turns what the log wants into effects.
-func (c *Council) carry(out *agree.Out) {
+func (c *Council) carry(out *consensus.Out) {
 	if out.Write != nil {
 		c.do(Persist{out.Write})
 	}
 	for _, m := range out.Messages {
 		if v, ok := c.voter(m.GetTo()); ok {
-			c.send(v.Name, v.Addr, &Envelope{Raft: agree.Marshal(m)})
+			c.send(v.Name, v.Addr, &Envelope{Raft: consensus.Marshal(m)})
 		}
 	}
 	if out.Install != nil {
@@ -67,7 +67,7 @@
 }
 
 // apply takes in an agreed entry.
-func (c *Council) apply(e agree.Entry) {
+func (c *Council) apply(e consensus.Entry) {
 	if c.core == nil {
 		return // given up at an entry before
 	}
@@ -79,12 +79,12 @@
 		return
 	}
 	var b batch
-	if err := workorder.Decode(e.Data, &b); err != nil {
+	if err := maintenance.Decode(e.Data, &b); err != nil {
 		c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		return
 	}
-	if slices.ContainsFunc(b.Commands, func(cmd workorder.Command) bool {
-		return cmd.Kind == workorder.Raise && cmd.Index > c.cfg.Level
+	if slices.ContainsFunc(b.Commands, func(cmd maintenance.Command) bool {
+		return cmd.Kind == maintenance.Raise && cmd.Index > c.cfg.Level
 	}) {
 		c.tooOld()
 		return
@@ -101,10 +101,10 @@
 }
 
 // changed takes in a change of the voters.
-func (c *Council) changed(e agree.Entry) {
+func (c *Council) changed(e consensus.Entry) {
 	var f founding
 	if len(e.Conf) > 0 {
-		if err := workorder.Decode(e.Conf, &f); err != nil {
+		if err := maintenance.Decode(e.Conf, &f); err != nil {
 			c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		}
 	}
