--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"lilacglade"
 )
 
-// A proxy serves one request, sends one again, refuses one and hears of a drain.
+// A proxy serves one request, retries one, refuses one and handles a drain.
 func Example() {
 	b, err := lilacglade.New(lilacglade.Settings{
 		Balancers:   1,
--- a/learned.go
+++ b/learned.go
@@ -9,11 +9,11 @@
 // the same proxy. Export returns it, Import restores it. Times are ages.
 type Learned struct {
 	Servers                 []LearnedServer
-	Works                   map[string][5]float64 // by class
-	Usual, Bias, MeanLoad   float64
-	Arrivals, Tries, Failed float64
-	Retries                 float64
-	SinceReport             time.Duration
+	Works                   map[string][5]float64 // the linear regression of the work, by class name
+	Usual, Bias, MeanLoad   float64               // mean load at sending, latency bias, mean load
+	Arrivals, Tries, Failed float64               // arrival rate, recent attempts and failures
+	Retries                 float64               // retry tokens
+	SinceReport             time.Duration         // since the last load report of any server
 	ReportedAny             bool
 }
 
@@ -21,14 +21,14 @@
 type LearnedServer struct {
 	ID             ServerID
 	Age            time.Duration // since its start; -1 if long ago
-	Speed, Doubt   float64
-	Load, Usual    float64 // Load: in-flight requests of other proxies
-	Bound          float64 // concurrency limit; 0 if there is none
+	Speed, Doubt   float64       // Doubt: failure evidence
+	Load, Usual    float64       // Load: in-flight requests of other proxies; Usual: mean report
+	Bound          float64       // concurrency limit; 0 if there is none
 	Reported       bool
-	LoadAge        time.Duration
-	Aside          bool
-	Wait, TrialDue time.Duration
-	Purse          float64
+	LoadAge        time.Duration // since its last load report
+	Aside          bool          // ejected
+	Wait, TrialDue time.Duration // probation backoff, time until the next probation attempt
+	Purse          float64       // slow-start budget, in seconds of work
 }
 
 // Export returns what was learned so far.
--- a/lease_test.go
+++ b/lease_test.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// TestExpiredList guards against sending by a list that may be out of date: a request waits for half of
-// its aim, and is then refused with advice; one that waits when the list holds again is sent, and a retry
-// is given up.
-func TestExpiredList(t *testing.T) {
-	p := newProxy(t, testSettings(), 1, fleet(8)...)
+// TestExpiredListLease checks that nothing is sent by a list that may be outdated: a request waits
+// for half of its Aim and is then refused with a Retry-After. A request that is waiting when the
+// lease becomes valid again is sent, and a retry is given up.
+func TestExpiredListLease(t *testing.T) {
+	p := newTestProxy(t, testSettings(), 1, fleet(8)...)
 	request := func() Request {
-		p.asked++
-		return Request{ID: p.asked, Key: uint64(p.asked), HasKey: true,
+		p.lastID++
+		return Request{ID: p.lastID, Key: uint64(p.lastID), HasKey: true,
 			Budget: time.Second}
 	}
-	looks := func() []Action { // lets a held request be looked at
+	checkHeld := func() []Action { // has held requests checked again
 		p.now += holdInterval
-		var acts []Action
+		var actions []Action
 		for token := range p.b.heldByToken {
-			acts = append(acts, p.do(Timer{Token: token})...)
+			actions = append(actions, p.handle(Timer{Token: token})...)
 		}
-		return acts
+		return actions
 	}
-	tried := request()
-	sent := p.one(Send, tried)
-	p.do(ListLease{Expired: true})
-	failed := Outcome{Request: tried.ID, Server: sent.Server, Result: ConnectFailed}
-	if got := p.one(Refuse, failed); got.For <= 0 {
-		t.Error("refused without advice")
+	first := request()
+	sent := p.handleOne(Send, first)
+	p.handle(ListLease{Expired: true})
+	failed := Outcome{Request: first.ID, Server: sent.Server, Result: ConnectFailed}
+	if got := p.handleOne(Refuse, failed); got.For <= 0 {
+		t.Error("refused without a Retry-After")
 	}
-	if acts := p.do(request()); len(acts) > 0 {
-		t.Fatalf("%+v by an expired list", acts)
+	if actions := p.handle(request()); len(actions) > 0 {
+		t.Fatalf("%+v with an expired lease", actions)
 	}
-	began := p.now
-	for acts := looks(); len(acts) == 0 || acts[0].Do != Refuse; acts = looks() {
-		if len(acts) > 0 || p.now-began > 300*ms {
-			t.Fatalf("%+v, %v after it came", acts, p.now-began)
+	start := p.now
+	for actions := checkHeld(); len(actions) == 0 || actions[0].Do != Refuse; actions = checkHeld() {
+		if len(actions) > 0 || p.now-start > 300*ms {
+			t.Fatalf("%+v, %v after the request", actions, p.now-start)
 		}
 	}
-	if waited := p.now - began; waited < 150*ms {
+	if waited := p.now - start; waited < 150*ms {
 		t.Errorf("refused after %v", waited)
 	}
-	p.do(request())
-	p.do(ListLease{})
-	if acts := looks(); len(acts) != 1 || acts[0].Do != Send {
-		t.Errorf("%+v when the list holds again", acts)
+	p.handle(request())
+	p.handle(ListLease{})
+	if actions := checkHeld(); len(actions) != 1 || actions[0].Do != Send {
+		t.Errorf("%+v after the lease became valid again", actions)
 	}
 }
--- a/retune_test.go
+++ b/retune_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestRetuneMovesWhatIsKnownByClass covers classes that change places, are dropped and come: what was
-// learned and who is barred goes with the name, open requests with their class, and bad settings change
-// nothing.
-func TestRetuneMovesWhatIsKnownByClass(t *testing.T) {
+// TestRetuneKeepsStateByClass checks classes that change places, are dropped and are added:
+// estimates and class health follow the name, open requests keep their class, and invalid settings
+// change nothing.
+func TestRetuneKeepsStateByClass(t *testing.T) {
 	class := func(name string, worth float64) Class {
 		return Class{Name: name, Aim: time.Second, Deadline: time.Second, Worth: worth}
 	}
@@ -25,39 +25,40 @@
 	b.servers[1].classHealth[1].failures = 9
 	b.tenantTokens[1] = 0.5
 
-	bad := old
-	bad.MaxAttempts = 0
-	if b.Retune(time.Hour, bad) == nil || b.settings.MaxAttempts != 3 {
-		t.Error("impossible settings were taken")
-	}
-	set := old
-	set.Classes = []Class{class("c", 3), class("b", 2)}
-	set.Tenants = []Tenant{{"u", 20}, {"v", 30}}
-	set = set.RetainingClasses(old)
-	if err := b.Retune(time.Hour, set); err != nil {
+	invalid := old
+	invalid.MaxAttempts = 0
+	if b.Retune(time.Hour, invalid) == nil || b.settings.MaxAttempts != 3 {
+		t.Error("invalid settings were applied")
+	}
+	settings := old
+	settings.Classes = []Class{class("c", 3), class("b", 2)}
+	settings.Tenants = []Tenant{{"u", 20}, {"v", 30}}
+	settings = settings.RetainingClasses(old)
+	if err := b.Retune(time.Hour, settings); err != nil {
 		t.Fatal(err)
 	}
-	if len(set.Classes) != 3 || set.Offered != 2 || set.Classes[2].Name != "a" {
-		t.Fatalf("classes %+v, %d offered", set.Classes, set.Offered)
+	if len(settings.Classes) != 3 || settings.Offered != 2 || settings.Classes[2].Name != "a" {
+		t.Fatalf("classes %+v, %d offered", settings.Classes, settings.Offered)
 	}
 	if r := b.requests; r[1].Class != 2 || r[1].class.Name != "a" || r[2].Class != 1 || r[1].maxAttempts != 3 {
 		t.Errorf("open requests: %+v %+v", r[1], r[2])
 	}
 	if s := b.servers[1]; b.workEstimators[1].meanY != 0.125 || s.classHealth[1].failures != 9 ||
 		s.classHealth[0].failures != 0 {
-		t.Errorf("works %+v, standings %+v", b.workEstimators, s.classHealth)
+		t.Errorf("work estimates %+v, class health %+v", b.workEstimators, s.classHealth)
 	}
 	if want := (0.25 + 0.125) / 2; b.workEstimators[0].meanY != want {
-		t.Errorf("a new class is taken for work of %v, want the mean %v", b.workEstimators[0].meanY, want)
+		t.Errorf("the work of a new class is %v, want the mean %v", b.workEstimators[0].meanY, want)
 	}
 	if b.tenantTokens[0] != 0.5 || b.tenantTokens[1] != 15 {
-		t.Errorf("allowances %v", b.tenantTokens)
+		t.Errorf("tenant tokens %v", b.tenantTokens)
 	}
-	if again := old.RetainingClasses(set); len(again.Classes) != 3 || again.Classes[2].Name != "c" {
-		t.Errorf("back again: %+v", again.Classes)
+	if reverted := old.RetainingClasses(settings); len(reverted.Classes) != 3 ||
+		reverted.Classes[2].Name != "c" {
+		t.Errorf("after reverting: %+v", reverted.Classes)
 	}
 	server := b.requests[1].attempted[0].ID
 	for _, a := range b.Handle(time.Hour, Outcome{Request: 1, Server: server, Closed: true, Latency: 1}) {
-		t.Errorf("asked for %+v", a)
+		t.Errorf("unexpected action %+v", a)
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestNewNamesTheBrokenSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	if _, err := New(testSettings(), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -30,11 +30,11 @@
 		"TipMultiple":          func(s *Settings) { s.TipMultiple = math.NaN() },
 		"AskEvery":             func(s *Settings) { s.AskEvery = -1 },
 	}
-	for name, spoil := range tests {
-		set := testSettings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s spoilt: got error %v", name, err)
+	for name, invalidate := range tests {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), name) {
+			t.Errorf("%s invalid: got error %v", name, err)
 		}
 	}
 }
--- a/stream_test.go
+++ b/stream_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestWhatIsGoneIsNotSentAgain covers a request whose bytes were passed on: where nothing ran it is
-// refused, after one attempt; the same outcome of one that is still there leads to another attempt.
-func TestWhatIsGoneIsNotSentAgain(t *testing.T) {
+// TestConsumedBodyIsNotResent checks that a request whose body was passed on is refused after one
+// attempt that did not run, while the same outcome leads to a retry if the body is still available.
+func TestConsumedBodyIsNotResent(t *testing.T) {
 	for _, gone := range []bool{false, true} {
 		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, WarmWithin: time.Second, TipWindow: time.Second,
 			Classes: []Class{{Name: "a", Aim: time.Second, Deadline: time.Second, Worth: 1, Effect: Unsafe}}}, 1)
@@ -21,13 +21,13 @@
 				sent = a
 			}
 		}
-		again, refused := false, false
+		resent, refused := false, false
 		for _, a := range b.Handle(time.Hour, Outcome{Request: 7, Server: sent.Server, Result: ConnectFailed,
 			Gone: gone}) {
-			again, refused = again || a.Do == Send, refused || a.Do == Refuse
+			resent, refused = resent || a.Do == Send, refused || a.Do == Refuse
 		}
-		if again == gone || refused != gone {
-			t.Errorf("gone %t: sent again %t, refused %t", gone, again, refused)
+		if resent == gone || refused != gone {
+			t.Errorf("body gone %t: sent again %t, refused %t", gone, resent, refused)
 		}
 	}
 }
--- a/subset_test.go
+++ b/subset_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// parts has a fleet of proxies settle with which of the servers they work.
-func parts(t *testing.T, proxies int, servers []Server, lost map[ServerID]bool) (all []*Balancer,
-	sharers map[ServerID]int) {
+// selectSubsets returns the proxies of a fleet with their subsets, and the number of proxies per
+// server.
+func selectSubsets(t *testing.T, proxies int, servers []Server, lost map[ServerID]bool) (
+	balancers []*Balancer, proxiesPerServer map[ServerID]int) {
 	t.Helper()
-	sharers = map[ServerID]int{}
+	proxiesPerServer = map[ServerID]int{}
 	for i := range proxies {
-		set := testSettings()
-		set.Me, set.Balancers = i, proxies
-		b, err := New(set, uint64(i))
+		settings := testSettings()
+		settings.Me, settings.Balancers = i, proxies
+		b, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,17 +25,18 @@
 		b.selectSubset()
 		for _, s := range b.sortedServers {
 			if s.inSubset && !s.ejected {
-				sharers[s.ID]++
+				proxiesPerServer[s.ID]++
 			}
 		}
-		all = append(all, b)
+		balancers = append(balancers, b)
 	}
-	return all, sharers
+	return balancers, proxiesPerServer
 }
 
-// TestParts holds from 3 proxies to 1000: few work with all servers, of many about as many with each for its
-// weight, none is left out, and a lost third is made good by others without crowding any.
-func TestParts(t *testing.T) {
+// TestSubsets checks fleets of 3 to 1000 proxies: few proxies send to all servers, many send to
+// each in proportion to its weight, no server is left out, and a lost third of the servers is
+// replaced without overloading any other.
+func TestSubsets(t *testing.T) {
 	for _, n := range []struct{ proxies, servers int }{{3, 13}, {4, 200}, {30, 40}, {80, 60}, {300, 160},
 		{300, 20}, {1000, 100}} {
 		servers, lost := fleet(n.servers), map[ServerID]bool{}
@@ -45,17 +47,17 @@
 			}
 		}
 		for _, gone := range []map[ServerID]bool{nil, lost} {
-			_, sharers := parts(t, n.proxies, servers, gone)
-			sound := float64(n.servers - len(gone))
+			_, proxiesPerServer := selectSubsets(t, n.proxies, servers, gone)
+			healthy := float64(n.servers - len(gone))
 			for _, s := range servers {
 				if gone[s.ID] {
 					continue
 				}
-				fair := min(float64(n.proxies), max(targetProxiesPerServer*float64(n.servers)/sound,
-					minSubset*float64(n.proxies)/sound))
-				got := float64(sharers[s.ID])
+				fair := min(float64(n.proxies), max(targetProxiesPerServer*float64(n.servers)/healthy,
+					minSubset*float64(n.proxies)/healthy))
+				got := float64(proxiesPerServer[s.ID])
 				if n.proxies <= targetProxiesPerServer && got != float64(n.proxies) || got < 0.1*fair || got > 3*fair {
-					t.Errorf("%v, %d lost: %v proxies work with a server of weight %v, %v is fair", n, len(gone),
+					t.Errorf("%v, %d lost: %v proxies send to a server of weight %v, %v is fair", n, len(gone),
 						got, s.Weight, fair)
 				}
 			}
@@ -63,12 +65,12 @@
 	}
 }
 
-// TestPartsMoveLittle guards against all proxies changing their servers when one comes or goes.
-func TestPartsMoveLittle(t *testing.T) {
+// TestSubsetsAreStable checks that most proxies keep their servers when one is added or removed.
+func TestSubsetsAreStable(t *testing.T) {
 	servers := fleet(161)
-	all, before := parts(t, 300, servers[:160], nil)
-	moved, places := 0, 0
-	for _, b := range all {
+	balancers, before := selectSubsets(t, 300, servers[:160], nil)
+	moved, total := 0, 0
+	for _, b := range balancers {
 		was := map[ServerID]bool{}
 		for _, s := range b.sortedServers {
 			was[s.ID] = s.inSubset
@@ -81,19 +83,19 @@
 		}
 	}
 	for _, n := range before {
-		places += n
+		total += n
 	}
-	if moved > places/20 {
-		t.Errorf("one of 161 servers is new, and %d of %d places move", moved, places)
+	if moved > total/20 {
+		t.Errorf("one of 161 servers is new, and %d of %d places change", moved, total)
 	}
 }
 
-// TestPartWidens holds that a proxy with much in work takes more servers, and one whose part is full goes
-// beyond it rather than refuse.
-func TestPartWidens(t *testing.T) {
-	set := testSettings()
-	set.Balancers, set.Me = 300, 7
-	p := newProxy(t, set, 1, fleet(100)...)
+// TestSubsetGrows checks that a proxy with many requests in flight uses more servers, and that one
+// whose subset is full sends to other servers instead of refusing.
+func TestSubsetGrows(t *testing.T) {
+	settings := testSettings()
+	settings.Balancers, settings.Me = 300, 7
+	p := newTestProxy(t, settings, 1, fleet(100)...)
 	count := func() (n int) {
 		for _, s := range p.b.sortedServers {
 			if s.inSubset {
@@ -102,10 +104,10 @@
 		}
 		return n
 	}
-	few := count()
+	idleCount := count()
 	p.b.arrivalRate, p.b.meanRelativeLatency = 8, 1
-	if p.b.selectSubset(); count() < 2*few {
-		t.Errorf("%d servers for 8 requests in work, %d for none", count(), few)
+	if p.b.selectSubset(); count() < 2*idleCount {
+		t.Errorf("%d servers for 8 requests in flight, %d for none", count(), idleCount)
 	}
 	p.b.arrivalRate = 0
 	p.b.selectSubset()
@@ -116,6 +118,6 @@
 	}
 	r := &request{class: &p.b.settings.Classes[0], work: 0.01, relativeWorth: 1}
 	if s := p.b.selectServer(r); s == nil || s.inSubset {
-		t.Errorf("a full part leaves %v for a request", s)
+		t.Errorf("with a full subset, a request is sent to %v", s)
 	}
 }
