--- a/balancer_test.go
+++ b/balancer_test.go
@@ -87,6 +87,7 @@
 	return m
 }
 
+// TestSharesFollowCapacity checks that servers get keys in proportion to their weight.
 func TestSharesFollowCapacity(t *testing.T) {
 	servers := fleet(12)
 	total := 0.0
@@ -108,6 +109,7 @@
 	}
 }
 
+// TestMinimalRemapping checks that the removal of a server moves few keys between the others.
 func TestMinimalRemapping(t *testing.T) {
 	servers := fleet(12)
 	p := newTestProxy(t, testSettings(), 1, servers...)
@@ -130,6 +132,7 @@
 	}
 }
 
+// TestRangesNeverOverlap checks that each range has at most one owner after random capacity changes.
 func TestRangesNeverOverlap(t *testing.T) {
 	p := newTestProxy(t, testSettings(), 1, fleet(9)...)
 	for round := range 200 {
@@ -165,6 +168,7 @@
 	}
 }
 
+// TestSplittingKeepsOwners checks that more ranges move no keys.
 func TestSplittingKeepsOwners(t *testing.T) {
 	p := newTestProxy(t, testSettings(), 1, fleet(9)...)
 	var before []*server
@@ -179,6 +183,7 @@
 	}
 }
 
+// TestProxiesAgree checks that proxies with different seeds map keys to the same servers.
 func TestProxiesAgree(t *testing.T) {
 	a := newTestProxy(t, testSettings(), 1, fleet(20)...)
 	b := newTestProxy(t, testSettings(), 99, fleet(20)...)
@@ -238,6 +243,7 @@
 	}
 }
 
+// TestFinalAnswerAtDeadline checks the final answer of each class after a timeout at the deadline.
 func TestFinalAnswerAtDeadline(t *testing.T) {
 	for class, want := range []Do{Refuse, Fail, Fail, Refuse, Fail} {
 		p := newTestProxy(t, testSettings(), 1, fleet(8)...)
@@ -250,6 +256,7 @@
 	}
 }
 
+// TestEmptyListHoldsRequests checks that a request without any server is held, then sent or refused.
 func TestEmptyListHoldsRequests(t *testing.T) {
 	p := newTestProxy(t, testSettings(), 1)
 	if actions := p.handle(Request{ID: 1, Budget: time.Second}); len(actions) != 0 {
@@ -274,6 +281,7 @@
 	t.Error("no answer within the budget")
 }
 
+// TestDrainDuringRetry checks that a retry does not go to a server that drains since the first attempt.
 func TestDrainDuringRetry(t *testing.T) {
 	p := newTestProxy(t, testSettings(), 1, fleet(2)...)
 	first := p.handleOne(Send, Request{ID: 1, Key: 5, HasKey: true, Budget: time.Second})
@@ -305,6 +313,7 @@
 	}
 }
 
+// TestUnexpectedEventsAreIgnored checks events that repeat or that refer to nothing known.
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	p := newTestProxy(t, testSettings(), 1, fleet(2)...)
 	first := p.handleOne(Send, Request{ID: 1, Key: 5, HasKey: true, Budget: time.Second})
--- a/concurrency_limit_test.go
+++ b/concurrency_limit_test.go
@@ -14,6 +14,7 @@
 	endTimes    []time.Duration // of the requests in flight, in order of start
 }
 
+// inFlight returns the number of requests in flight at the given time.
 func (q *simServer) inFlight(now time.Duration) int {
 	for len(q.endTimes) > 0 && q.endTimes[0] <= now {
 		q.endTimes = q.endTimes[1:]
--- a/random_test.go
+++ b/random_test.go
@@ -8,18 +8,21 @@
 	"time"
 )
 
-// ruleChecker observes one proxy from outside. It checks the four rules without knowledge of the
-// algorithms.
+// ruleChecker observes one proxy from outside. It checks four rules without knowledge of the
+// algorithms: (1) each request gets exactly one final answer, in time; (2) a request that may have
+// run is only repeated as its class allows, one attempt at a time; (3) nothing is sent to a server
+// that is draining or gone; (4) a server in slow start is not overloaded.
 type ruleChecker struct {
 	settings       Settings
 	now            time.Duration
 	requests       map[RequestID]*trackedRequest
 	servers        map[ServerID]Server
 	down           map[ServerID]bool
-	slowStartSends []slowStartSend // to servers in slow start
+	slowStartSends []slowStartSend
 	violations     []string
 }
 
+// trackedRequest is a request with the attempts seen so far.
 type trackedRequest struct {
 	Request
 	deadline time.Duration
@@ -27,6 +30,7 @@
 	attempts []testAttempt
 }
 
+// testAttempt is one Send of a request.
 type testAttempt struct {
 	server   Server
 	sentAt   time.Duration
@@ -34,11 +38,13 @@
 	neverRan bool // proved never to have run
 }
 
+// slowStartSend is a Send to a server in slow start.
 type slowStartSend struct {
 	id     ServerID
 	sentAt time.Duration
 }
 
+// violation records a violation of a rule.
 func (c *ruleChecker) violation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
@@ -248,6 +254,7 @@
 	return c.violations
 }
 
+// TestRulesUnderRandomHistories checks the rules of ruleChecker under valid and invalid events.
 func TestRulesUnderRandomHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		if violations := runHistory(t, seed, 1500); len(violations) > 0 {
--- a/settings_test.go
+++ b/settings_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// TestNewNamesInvalidSetting checks that the error of New names the setting at fault.
 func TestNewNamesInvalidSetting(t *testing.T) {
 	if _, err := New(testSettings(), 1); err != nil {
 		t.Fatal(err)
--- a/state.go
+++ b/state.go
@@ -20,12 +20,12 @@
 	load               loadEstimator
 	latency            latencyEstimator
 	concurrencyLimit   concurrencyLimit
-	failureEvidence    float64 // log odds that it is lost; 0 without evidence
-	evidenceAt         time.Duration
+	failureEvidence    float64       // log odds that it is lost; 0 without evidence
+	evidenceAt         time.Duration // when failureEvidence was last updated
 	classHealth        []classHealth
 	ejected            bool
-	probationAt        time.Duration
-	probationBackoff   time.Duration
+	probationAt        time.Duration // when the next probation attempt is due
+	probationBackoff   time.Duration // doubles with each failure, is halved by each answer
 	lastSuccess        time.Duration // time of the last answer
 	slowStartBudget    float64       // work in seconds that this proxy may send it during slow start
 	maxSlowStartBudget float64       // upper limit of slowStartBudget
