--- a/internal/reducer/attempts_test.go
+++ b/internal/reducer/attempts_test.go
@@ -35,8 +35,8 @@
 	server := m.serverConns[1].server
 	m.endExchange(1, lg.Full, false)
 	for _, stats := range m.s.pool.Stats() {
-		if stats.ID == server && stats.Legs > 0 || m.serverConns[1] != nil {
-			t.Errorf("%d connections kept", stats.Legs)
+		if stats.ID == server && stats.Conns > 0 || m.serverConns[1] != nil {
+			t.Errorf("%d connections kept", stats.Conns)
 		}
 	}
 	m.step(RequestWritten{Conn: 1, OK: true}) // the write that was in progress has no effect
@@ -186,10 +186,10 @@
 			m.updateList(lg.Changes, lg.Draining, id)
 		}
 	}
-	rested := *m.s.serverConns[1].Leg
-	rested.Rested = 100 * ms
+	rested := *m.s.serverConns[1].Conn
+	rested.IdleFor = 100 * ms
 	for range 40 {
-		m.s.pool.Learn(m.s.now, &rested, pool.Broke)
+		m.s.pool.RecordOutcome(m.s.now, &rested, pool.Broken)
 	}
 	m.now += 200 * ms
 	if m.sendRequest(req.conn, 0); m.serverConns[1] != nil || len(m.serverConns) != 1 {
--- a/internal/reducer/events.go
+++ b/internal/reducer/events.go
@@ -101,7 +101,7 @@
 }
 
 // openResult returns the result in the terms of the pool.
-func (ev ServerDialed) openResult() pool.Opening {
+func (ev ServerDialed) openResult() pool.OpenResult {
 	switch {
 	case ev.OK:
 		return pool.OpenOK
@@ -170,7 +170,7 @@
 
 // Reloaded brings a new configuration: the address of discovery and the limits, as in Config.
 type Reloaded struct {
-	// Settings apply to requests from now on, as Settings.After returned them; nil leaves them
+	// Settings apply to requests from now on, as Settings.RetainingClasses returned them; nil leaves them
 	// unchanged.
 	Settings                   *lg.Settings
 	Discovery                  string
--- a/internal/reducer/list.go
+++ b/internal/reducer/list.go
@@ -18,8 +18,8 @@
 
 // scheduleConfig returns the configuration of the call schedule.
 func scheduleConfig(settings *lg.Settings) listcalls.Config {
-	return listcalls.Config{Asked: settings.AskForList, Every: settings.AskEvery, Grace: settings.DrainGrace,
-		Me: settings.Me, Proxies: settings.Balancers}
+	return listcalls.Config{Polled: settings.AskForList, PollInterval: settings.AskEvery,
+		DrainGrace: settings.DrainGrace, Index: settings.Me, Proxies: settings.Balancers}
 }
 
 // listPushed reports whether lists are pushed: then the proxy counts as notified of everything that
@@ -79,7 +79,7 @@
 func (s *State) applyList(list lg.List) {
 	for _, server := range list.Servers {
 		s.setLocation(server)
-		s.pool.Told(server.ID, server.State)
+		s.pool.SetServerState(server.ID, server.State)
 	}
 	if list.Kind == lg.Changes {
 		return
@@ -88,10 +88,10 @@
 	for _, server := range list.Servers {
 		named[server.ID] = true
 	}
-	for _, server := range s.pool.Hops() {
+	for _, server := range s.pool.Servers() {
 		if !named[server.ID] {
 			delete(s.locations, server.ID)
-			s.pool.Told(server.ID, lg.Gone)
+			s.pool.SetServerState(server.ID, lg.Gone)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	switch {
 	case ev.List.Kind == lg.CachedList || ev.Late:
 		s.scheduleFirstCall()
-	case ev.List.Kind == lg.ListFailed && s.list.Out():
+	case ev.List.Kind == lg.ListFailed && s.list.Pending():
 		s.logLine(s.list.callFailed(s.now))
 		s.metricsChanged()
 		next := s.list.Failed(s.now)
@@ -112,10 +112,10 @@
 	case ev.List.Kind == lg.ListFailed: // of a call that was given up before
 	default:
 		s.logLine(s.list.callAnswered(s.now))
-		quiet := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
+		unchanged := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
 		complete := ev.List.Kind == lg.FullList || ev.Complete
-		s.timers.add(s.list.Answered(s.now, listcalls.Answer{Whole: complete, Quiet: quiet, Known: !ev.NextFull,
-			Work: ev.ProcessingTime}), s.watch)
+		s.timers.add(s.list.Answered(s.now, listcalls.Answer{Full: complete, Unchanged: unchanged,
+			VersionKnown: !ev.NextFull, ProcessingTime: ev.ProcessingTime}), s.watch)
 	}
 }
 
@@ -123,7 +123,7 @@
 func (s *State) scheduleFirstCall() {
 	if !s.list.started && !s.listPushed() {
 		s.list.started = true
-		s.timers.add(s.list.First(s.now), s.watch)
+		s.timers.add(s.list.FirstCall(s.now), s.watch)
 	}
 }
 
@@ -155,16 +155,16 @@
 func (s *State) makeCall(call listcalls.Call) {
 	s.logLine(s.list.callStarted(s.now, call.Number))
 	if s.cfg.Trace != nil {
-		s.trace("W %s anew %t", s.cfg.Discovery, call.Anew)
+		s.trace("W %s anew %t", s.cfg.Discovery, call.NewConn)
 	}
-	s.emit(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + call.Wait, GiveUpAt: call.GiveUp,
-		NewConn: call.Anew})
-	s.timers.add(call.GiveUp, func() { s.callTimedOut(call.Number) })
+	s.emit(Effect{Do: Watch, Text: s.cfg.Discovery, At: s.now + call.Wait, GiveUpAt: call.Deadline,
+		NewConn: call.NewConn})
+	s.timers.add(call.Deadline, func() { s.callTimedOut(call.Number) })
 }
 
 // callTimedOut gives up a call that got no answer in time, and makes the next one at once.
 func (s *State) callTimedOut(number int) {
-	next, ok := s.list.GiveUp(s.now, number)
+	next, ok := s.list.TimeOut(s.now, number)
 	if !ok {
 		return
 	}
--- a/internal/reducer/list_test.go
+++ b/internal/reducer/list_test.go
@@ -276,8 +276,8 @@
 	l.nextCall(listOf(lg.FullList, lg.Ready, 1))
 	l.nextCall(TimerFired{}) // it got no answer: the next one is open
 	late := listOf(lg.Changes, lg.Draining, 1)
-	if late.Late = true; len(l.step(late)) != 0 || !l.s.list.Out() || l.s.Ready() {
-		t.Errorf("watching %t, ready with only a draining server %t", l.s.list.Out(), l.s.Ready())
+	if late.Late = true; len(l.step(late)) != 0 || !l.s.list.Pending() || l.s.Ready() {
+		t.Errorf("watching %t, ready with only a draining server %t", l.s.list.Pending(), l.s.Ready())
 	}
 	if after, _ := l.nextCall(listOf(lg.Changes, lg.Draining, 1)); after > 200*ms {
 		t.Errorf("its own answer led to the next call after %v", after)
--- a/internal/reducer/listlog.go
+++ b/internal/reducer/listlog.go
@@ -114,7 +114,7 @@
 
 // attemptSent records that an attempt is sent by the current list.
 func (l *listLog) attemptSent(now time.Duration) {
-	if l.failedCalls > 0 && now-l.answeredAt > listcalls.NewsBy {
+	if l.failedCalls > 0 && now-l.answeredAt > listcalls.NotifiedAfter {
 		l.outdatedAttempts++
 	}
 }
--- a/internal/reducer/maintenance.go
+++ b/internal/reducer/maintenance.go
@@ -138,7 +138,7 @@
 				server.State = lg.Draining
 			}
 			updates = append(updates, server)
-			s.pool.Told(server.ID, server.State)
+			s.pool.SetServerState(server.ID, server.State)
 		}
 	}
 	if len(updates) == 0 {
@@ -155,7 +155,7 @@
 func (s *State) closeNamedConns() {
 	for _, id := range s.maintenance.fence.Named() {
 		for _, conn := range sortedValues(s.serverConns) {
-			if conn.Hop.ID != id || s.serverConns[ConnID(conn.ID)] != conn {
+			if conn.Server.ID != id || s.serverConns[ConnID(conn.ID)] != conn {
 				continue
 			}
 			if client := s.streamingClient(conn); client != nil {
@@ -210,7 +210,7 @@
 // open then.
 func (s *State) connsTo(id lg.ServerID) (n int) {
 	for _, conn := range s.serverConns {
-		if conn.Hop.ID == id {
+		if conn.Server.ID == id {
 			n++
 		}
 	}
--- a/internal/reducer/metrics.go
+++ b/internal/reducer/metrics.go
@@ -25,8 +25,8 @@
 	Violations                   sendguard.Counts       // of sendguard's rules; each is a bug
 	List                         ListMetrics
 	Sockets                      SocketMetrics
-	Headroom                     []lg.Room     // measured for each server; nil without peers
-	HotKeyServers                []lg.ServerID // servers that requests with a hot key are sent to
+	Headroom                     []lg.ServerHeadroom // measured for each server; nil without peers
+	HotKeyServers                []lg.ServerID       // servers that requests with a hot key are sent to
 }
 
 // ListMetrics describe the server list in use and the calls for it.
@@ -35,7 +35,7 @@
 	SinceAnswer      time.Duration // since its last answer or the first call; a pending watch adds to it
 	LongestPause     time.Duration // the longest time without a pending call after a failed call
 	FailedCalls      int           // calls that failed or timed out since discovery last answered
-	OutdatedAttempts uint64        // sent after a failed call, and listcalls.NewsBy after the last answer
+	OutdatedAttempts uint64        // sent after a failed call, and listcalls.NotifiedAfter after the last answer
 	LeaseExpirations uint64        // how often the list became too old to be used, after it had been usable
 	WithheldAttempts uint64        // attempts that were waiting for a connection then, and were not sent
 }
@@ -145,8 +145,8 @@
 	if decider, ok := s.decider.(interface{ Skipped() int }); ok {
 		metrics.SkippedServers += decider.Skipped()
 	}
-	if decider, ok := s.decider.(interface{ Rooms() []lg.Room }); ok && s.maintenance != nil {
-		metrics.Headroom = decider.Rooms()
+	if decider, ok := s.decider.(interface{ Headroom() []lg.ServerHeadroom }); ok && s.maintenance != nil {
+		metrics.Headroom = decider.Headroom()
 		metrics.HotKeyServers = s.maintenance.hotKeys.Hot(s.now, len(metrics.Headroom))
 	}
 	for _, counts := range s.counters.handled {
--- a/internal/reducer/outdated_test.go
+++ b/internal/reducer/outdated_test.go
@@ -170,7 +170,7 @@
 
 // leaseAfterFailure is longer than the list may be used after the last time at which the service was
 // known to be unreachable.
-const leaseAfterFailure = listcalls.NewsBy + drainGrace + slack + 10*ms
+const leaseAfterFailure = listcalls.NotifiedAfter + drainGrace + slack + 10*ms
 
 // leaseAfterWatch is longer than the list may be used after the end of a watch's wait.
 const leaseAfterWatch = 2*time.Second + drainGrace + slack + 10*ms
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -23,7 +23,7 @@
 	settings.MaxAttempts = 1
 	settings.Classes = []lg.Class{{Name: "new", Aim: 400 * ms, Deadline: 800 * ms, Worth: 5}, old.Classes[0]}
 	settings.Classes[1].Effect = lg.Safe
-	settings = settings.After(old)
+	settings = settings.RetainingClasses(old)
 	m.step(Reloaded{Settings: &settings, MaxClients: 12, MaxServerConns: 8})
 	classes := m.s.cfg.Settings.Classes
 	if settings.Offered != 2 || len(classes) != 4 || classes[2] != old.Classes[0] ||
--- a/internal/reducer/sendchecks.go
+++ b/internal/reducer/sendchecks.go
@@ -20,18 +20,18 @@
 		delete(s.locations, server.ID)
 		return
 	}
-	s.locations[server.ID] = sendguard.Place{Zone: server.Zone, Cell: server.Cell}
+	s.locations[server.ID] = sendguard.Location{Zone: server.Zone, Cell: server.Cell}
 }
 
 // sendCheckInput returns the input of sendguard.Check for an attempt that is about to be written.
 func (s *State) sendCheckInput(attempt *attempt) sendguard.Attempt {
 	req := attempt.req
-	input := sendguard.Attempt{Now: s.now, State: attempt.server.State(), Place: attempt.location,
+	input := sendguard.Attempt{Now: s.now, State: attempt.server.State(), Location: attempt.location,
 		Class: s.cfg.Settings.Classes[req.class], Ended: req.done || req.client == nil,
 		AtOnce:      req.attempt != attempt,
 		Unconfirmed: s.listPushed() && !s.list.confirmed && s.now < s.cfg.ConfirmTimeout, Expired: s.listExpired()}
 	if req.mayHaveRun {
-		input.Ran = &req.firstRun
+		input.Prior = &req.firstRun
 	}
 	return input
 }
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -14,7 +14,7 @@
 	if req == nil || req.done || req.attempt != nil {
 		return // a request has one attempt at a time, and none after its answer
 	}
-	attempt := &attempt{req: req, number: req.attempts, server: s.pool.Hop(action.Server), sentAt: s.now,
+	attempt := &attempt{req: req, number: req.attempts, server: s.pool.Server(action.Server), sentAt: s.now,
 		deadline: req.attemptDeadline(s.now, action.For)}
 	if action.Within > 0 {
 		attempt.startBy = s.now + action.Within
@@ -23,7 +23,7 @@
 	req.attempts++
 	req.attempt = attempt
 	if s.maintenance != nil && req.key != 0 {
-		s.maintenance.hotKeys.Sent(s.now, req.key, action.Server)
+		s.maintenance.hotKeys.Record(s.now, req.key, action.Server)
 	}
 	if s.cfg.Trace != nil {
 		s.trace("S %d.%d %x class %d heard %d", req.id, attempt.number, uint64(action.Server), req.class,
@@ -49,7 +49,7 @@
 
 // acquireConn requests a connection from the pool.
 func (s *State) acquireConn(attempt *attempt) {
-	s.pool.Want(s.now, attempt.server, attempt, attempt.req.unsafe)
+	s.pool.Acquire(s.now, attempt.server, attempt, attempt.req.unsafe)
 	s.runPoolActions()
 	if req := attempt.req; req.attempt == attempt && attempt.conn == nil {
 		// If the wait for a connection in use takes too long, because its server hangs, the attempt
@@ -59,10 +59,10 @@
 				s.endAttempt(attempt, lg.ConnectFailed, lg.LoadReport{})
 			}
 		})
-		if attempt.server.Lacks() {
-			s.timers.add(s.now+attempt.server.Patience(), func() {
+		if attempt.server.HasUnservedWaiters() {
+			s.timers.add(s.now+attempt.server.WaitTimeout(), func() {
 				if req.attempt == attempt && attempt.conn == nil {
-					s.pool.Press(s.now, attempt.server)
+					s.pool.OpenForWaiters(s.now, attempt.server)
 					s.runPoolActions()
 				}
 			})
@@ -72,35 +72,35 @@
 
 // runPoolActions carries out the actions of the pool.
 func (s *State) runPoolActions() {
-	for i := 0; i < len(s.pool.Acts); i++ {
-		act := s.pool.Acts[i]
+	for i := 0; i < len(s.pool.Actions); i++ {
+		act := s.pool.Actions[i]
 		if s.cfg.Trace != nil {
 			s.traceAct(act)
 		}
-		switch act.Do {
+		switch act.Kind {
 		case pool.Open:
-			id := ConnID(act.Leg.ID)
-			s.serverConns[id] = &serverConn{Leg: act.Leg}
+			id := ConnID(act.Conn.ID)
+			s.serverConns[id] = &serverConn{Conn: act.Conn}
 			deadline := s.now + s.cfg.Settings.ConnectTimeout
 			if act.Ticket != nil {
 				deadline = s.connDeadline(act.Ticket)
 			}
-			s.emit(Effect{Do: Dial, Conn: id, Server: act.Leg.Hop.ID, At: deadline})
+			s.emit(Effect{Do: Dial, Conn: id, Server: act.Conn.Server.ID, At: deadline})
 		case pool.Close:
-			s.emit(Effect{Do: CloseServerConn, Conn: ConnID(act.Leg.ID)})
-			delete(s.serverConns, ConnID(act.Leg.ID))
-		case pool.Give:
-			s.forward(s.serverConns[ConnID(act.Leg.ID)], act.Ticket)
+			s.emit(Effect{Do: CloseServerConn, Conn: ConnID(act.Conn.ID)})
+			delete(s.serverConns, ConnID(act.Conn.ID))
+		case pool.Assign:
+			s.forward(s.serverConns[ConnID(act.Conn.ID)], act.Ticket)
 		case pool.Refuse:
 			result := lg.ConnectFailed
-			if act.Local {
+			if act.LocalFault {
 				result = lg.LocalFault
 			}
 			s.endAttempt(act.Ticket, result, lg.LoadReport{})
 		}
 	}
-	clear(s.pool.Acts)
-	s.pool.Acts = s.pool.Acts[:0]
+	clear(s.pool.Actions)
+	s.pool.Actions = s.pool.Actions[:0]
 }
 
 // connDeadline returns when a connection for the attempt must be open. As long as no server has
@@ -120,19 +120,19 @@
 // attempt's time is over, but before its timer has fired, nothing is written any more.
 func (s *State) forward(conn *serverConn, attempt *attempt) {
 	if s.now >= attempt.deadline || attempt.startBy > 0 && s.now >= attempt.startBy {
-		s.pool.Unused(s.now, conn.Leg)
+		s.pool.ReleaseUnused(s.now, conn.Conn)
 		s.endAttempt(attempt, lg.ConnectFailed, lg.LoadReport{})
 		return
 	}
 	if s.listExpired() && !s.cfg.SkipSendChecks { // the lease ran out while it waited for the connection
 		s.list.withheldAttempts++
-		s.pool.Unused(s.now, conn.Leg)
+		s.pool.ReleaseUnused(s.now, conn.Conn)
 		s.endAttempt(attempt, lg.Moot, lg.LoadReport{})
 		return
 	}
 	if rule := sendguard.Check(s.sendCheckInput(attempt)); rule != sendguard.None && !s.cfg.SkipSendChecks {
 		s.recordViolation(rule, attempt.req)
-		s.pool.Unused(s.now, conn.Leg)
+		s.pool.ReleaseUnused(s.now, conn.Conn)
 		s.endAttempt(attempt, lg.Moot, lg.LoadReport{})
 		return
 	}
@@ -145,7 +145,7 @@
 	effect := Effect{Do: Forward, Conn: ConnID(conn.ID), Client: attempt.req.client.id,
 		Payload: attempt.req.payload, At: deadline, StartBy: attempt.startBy}
 	if s.maintenance != nil {
-		if until := s.maintenance.fence.Until(conn.Hop.ID); until > 0 &&
+		if until := s.maintenance.fence.Until(conn.Server.ID); until > 0 &&
 			(effect.StartBy == 0 || until < effect.StartBy) {
 			effect.StartBy = until
 		}
@@ -156,29 +156,29 @@
 // releaseConn returns a connection to the pool.
 func (s *State) releaseConn(conn *serverConn) {
 	conn.phase, conn.attempt = connPooled, nil
-	s.pool.Free(s.now, conn.Leg)
+	s.pool.Release(s.now, conn.Conn)
 	s.runPoolActions()
 }
 
 // closeConn closes a connection.
 func (s *State) closeConn(conn *serverConn) {
-	s.pool.Drop(s.now, conn.Leg)
+	s.pool.Drop(s.now, conn.Conn)
 	s.runPoolActions()
 }
 
-// poolEnds maps the result of an attempt to what the pool learns of its connection.
-var poolEnds = [lg.LocalFault + 1]pool.End{lg.Reset: pool.Broke, lg.ConnectFailed: pool.Broke,
-	lg.TimedOut: pool.Silence}
+// poolOutcomes maps the result of an attempt to what the pool learns of its connection.
+var poolOutcomes = [lg.LocalFault + 1]pool.Outcome{lg.Reset: pool.Broken, lg.ConnectFailed: pool.Broken,
+	lg.TimedOut: pool.NoAnswer}
 
 // endAttempt ends an attempt of a request and notifies the decider of the result.
 func (s *State) endAttempt(attempt *attempt, result lg.Result, load lg.LoadReport) {
 	req := attempt.req
 	req.attempt, req.lastResult = nil, result
 	if attempt.conn != nil {
-		s.pool.Learn(s.now, attempt.conn.Leg, poolEnds[result])
+		s.pool.RecordOutcome(s.now, attempt.conn.Conn, poolOutcomes[result])
 		attempt.conn.attempt = nil
 	} else {
-		s.pool.Forget(attempt.server, attempt)
+		s.pool.CancelWait(attempt.server, attempt)
 	}
 	if s.cfg.Trace != nil {
 		traced := load // a copy, so that the report is moved to the heap only when traced
@@ -196,7 +196,7 @@
 	}
 	if !result.NeverRan() && !req.mayHaveRun {
 		req.mayHaveRun = true
-		req.firstRun = sendguard.Ran{At: attempt.sentAt, Place: attempt.location}
+		req.firstRun = sendguard.PriorAttempt{SentAt: attempt.sentAt, Location: attempt.location}
 	}
 	req.timedOut = req.timedOut || result == lg.TimedOut
 	s.notify(lg.Outcome{Request: req.id, Attempt: attempt.number, Server: attempt.server.ID,
@@ -229,9 +229,9 @@
 		delete(s.serverConns, ev.Conn)
 	}
 	if s.cfg.Trace != nil {
-		s.trace("D %d %x %t", conn.ID, uint64(conn.Hop.ID), ev.OK)
+		s.trace("D %d %x %t", conn.ID, uint64(conn.Server.ID), ev.OK)
 	}
-	s.pool.Opened(s.now, conn.Leg, ev.openResult())
+	s.pool.Opened(s.now, conn.Conn, ev.openResult())
 	s.runPoolActions()
 }
 
@@ -245,7 +245,7 @@
 	}
 	attempt := conn.attempt
 	conn.phase, conn.attempt = connPooled, nil
-	s.pool.Unused(s.now, conn.Leg)
+	s.pool.ReleaseUnused(s.now, conn.Conn)
 	s.runPoolActions()
 	s.reacquireConn(attempt)
 }
@@ -326,7 +326,7 @@
 			s.finish(attempt.req, Effect{Verdict: Served, Payload: ev.Payload})
 		}
 		if ev.Result == lg.Full && !ev.Reusable {
-			s.pool.Capped(s.now, conn.Leg)
+			s.pool.ConnLimitReached(s.now, conn.Conn)
 		}
 		s.endAttempt(attempt, ev.Result, ev.Load)
 	}
@@ -360,9 +360,9 @@
 		}
 	}
 	if s.cfg.Trace != nil {
-		s.trace("C %d %x lost", conn.ID, uint64(conn.Hop.ID))
+		s.trace("C %d %x lost", conn.ID, uint64(conn.Server.ID))
 	}
 	delete(s.serverConns, id)
-	s.pool.Lost(s.now, conn.Leg)
+	s.pool.PeerClosed(s.now, conn.Conn)
 	s.runPoolActions()
 }
--- a/internal/reducer/state.go
+++ b/internal/reducer/state.go
@@ -81,7 +81,7 @@
 	drainingAcceptQueue bool // DrainAcceptQueue was requested and is unanswered
 	acceptQueueDrained  bool // it was answered in this step
 	counters            counters
-	locations           map[lg.ServerID]sendguard.Place
+	locations           map[lg.ServerID]sendguard.Location
 	violations          sendguard.Counts
 	maintenance         *maintenance // nil: no maintenance is coordinated between proxies
 }
@@ -131,7 +131,7 @@
 	attempts     int       // attempts so far
 	lastResult   lg.Result // of the last attempt that ended
 	mayHaveRun   bool      // an attempt may have run: firstRun
-	firstRun     sendguard.Ran
+	firstRun     sendguard.PriorAttempt
 	timedOut     bool          // an attempt has timed out
 	stream       bool          // it is forwarded while it arrives,
 	timeout      time.Duration // and its timeout counts from its last byte,
@@ -145,12 +145,12 @@
 type attempt struct {
 	req      *request
 	number   int
-	server   *pool.Hop[*attempt]
+	server   *pool.Server[*attempt]
 	sentAt   time.Duration
 	deadline time.Duration
-	startBy  time.Duration   // the latest time for its first byte; 0 means no limit
-	conn     *serverConn     // nil while it waits for a connection
-	location sendguard.Place // of its server at the time of sending
+	startBy  time.Duration      // the latest time for its first byte; 0 means no limit
+	conn     *serverConn        // nil while it waits for a connection
+	location sendguard.Location // of its server at the time of sending
 }
 
 // serverConnPhase is the phase of a server connection, in addition to its state in the pool.
@@ -166,7 +166,7 @@
 
 // serverConn is a connection to a server: the pool's connection and the exchange on it.
 type serverConn struct {
-	*pool.Leg[*attempt]
+	*pool.Conn[*attempt]
 	phase    serverConnPhase
 	attempt  *attempt // nil if nobody waits for the answer
 	closed   bool     // the connection broke while the request was being written
@@ -185,8 +185,8 @@
 	}
 	s := &State{cfg: cfg, decider: decider, clients: map[ConnID]*clientConn{},
 		requests: map[lg.RequestID]*request{}, openNames: map[string]bool{},
-		serverConns: map[ConnID]*serverConn{}, locations: map[lg.ServerID]sendguard.Place{}}
-	cfg.Pool.Most, cfg.Pool.Idle = cfg.MaxServerConns, cfg.ServerIdleTimeout
+		serverConns: map[ConnID]*serverConn{}, locations: map[lg.ServerID]sendguard.Location{}}
+	cfg.Pool.MaxConns, cfg.Pool.IdleTimeout = cfg.MaxServerConns, cfg.ServerIdleTimeout
 	s.pool = pool.New[*attempt](cfg.Pool)
 	s.list = listState{Schedule: listcalls.New(scheduleConfig(&s.cfg.Settings)), listLog: newListLog()}
 	s.timers.add(0, s.sweep)
@@ -332,11 +332,11 @@
 	case ListReceived:
 		s.metricsChanged()
 		if !ev.Late {
-			s.list.Know(!ev.NextFull)
+			s.list.SetVersionKnown(!ev.NextFull)
 		}
 		s.listReceived(ev)
 	case ListConnected:
-		s.list.Reached()
+		s.list.Connected()
 	case FencingUpdated:
 		s.fencingUpdated(ev)
 	case ClientIdleConfirmed:
@@ -393,7 +393,7 @@
 	if s.cfg.OverlapUntil > 0 && (s.now < s.cfg.OverlapUntil || s.stopping) {
 		limit = max(1, limit/2)
 	}
-	s.pool.Limit(limit)
+	s.pool.SetMaxConns(limit)
 	s.runPoolActions()
 }
 
@@ -425,7 +425,7 @@
 	s.limitServerConns()
 	if ev.Discovery != s.cfg.Discovery {
 		s.cfg.Discovery = ev.Discovery
-		s.list.Move(s.now)
+		s.list.AddressChanged(s.now)
 		s.watch()
 	}
 }
--- a/internal/reducer/trace.go
+++ b/internal/reducer/trace.go
@@ -36,22 +36,22 @@
 }
 
 // traceAct traces an action of the pool.
-func (s *State) traceAct(act pool.Act[*attempt]) {
-	id, server := pool.LegID(0), lg.ServerID(0)
-	if act.Leg != nil {
-		id, server = act.Leg.ID, act.Leg.Hop.ID
+func (s *State) traceAct(act pool.Action[*attempt]) {
+	id, server := pool.ConnID(0), lg.ServerID(0)
+	if act.Conn != nil {
+		id, server = act.Conn.ID, act.Conn.Server.ID
 	}
 	request := "-"
 	if act.Ticket != nil {
 		request = fmt.Sprint(act.Ticket.req.id)
 		server = act.Ticket.server.ID
 	}
-	switch act.Do {
+	switch act.Kind {
 	case pool.Open:
 		s.trace("O %d %x for %s", id, uint64(server), request)
 	case pool.Close:
 		s.trace("C %d %x", id, uint64(server))
-	case pool.Give:
-		s.trace("G %d %x to %s rested %d", id, uint64(server), request, act.Leg.Rested.Milliseconds())
+	case pool.Assign:
+		s.trace("G %d %x to %s rested %d", id, uint64(server), request, act.Conn.IdleFor.Milliseconds())
 	}
 }
