--- a/internal/reducer/list.go
+++ b/internal/reducer/list.go
@@ -18,8 +18,8 @@
 
 // scheduleConfig returns the configuration of the call schedule.
 func scheduleConfig(settings *lg.Settings) listcalls.Config {
-	return listcalls.Config{Polled: settings.AskForList, PollInterval: settings.AskEvery, DrainGrace: settings.DrainGrace,
-		Index: settings.Me, Proxies: settings.Balancers}
+	return listcalls.Config{Polled: settings.AskForList, PollInterval: settings.AskEvery,
+		DrainGrace: settings.DrainGrace, Index: settings.Me, Proxies: settings.Balancers}
 }
 
 // listPushed reports whether lists are pushed: then the proxy counts as notified of everything that
@@ -112,10 +112,10 @@
 	case ev.List.Kind == lg.ListFailed: // of a call that was given up before
 	default:
 		s.logLine(s.list.callAnswered(s.now))
-		quiet := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
+		unchanged := ev.List.Kind == lg.Changes && len(ev.List.Servers) == 0
 		complete := ev.List.Kind == lg.FullList || ev.Complete
-		s.timers.add(s.list.Answered(s.now, listcalls.Answer{Full: complete, Unchanged: quiet, VersionKnown: !ev.NextFull,
-			ProcessingTime: ev.ProcessingTime}), s.watch)
+		s.timers.add(s.list.Answered(s.now, listcalls.Answer{Full: complete, Unchanged: unchanged,
+			VersionKnown: !ev.NextFull, ProcessingTime: ev.ProcessingTime}), s.watch)
 	}
 }
 
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -166,8 +166,8 @@
 	s.runPoolActions()
 }
 
-// poolEnds maps the result of an attempt to what the pool learns of its connection.
-var poolEnds = [lg.LocalFault + 1]pool.Outcome{lg.Reset: pool.Broken, lg.ConnectFailed: pool.Broken,
+// poolOutcomes maps the result of an attempt to what the pool learns of its connection.
+var poolOutcomes = [lg.LocalFault + 1]pool.Outcome{lg.Reset: pool.Broken, lg.ConnectFailed: pool.Broken,
 	lg.TimedOut: pool.NoAnswer}
 
 // endAttempt ends an attempt of a request and notifies the decider of the result.
@@ -175,7 +175,7 @@
 	req := attempt.req
 	req.attempt, req.lastResult = nil, result
 	if attempt.conn != nil {
-		s.pool.RecordOutcome(s.now, attempt.conn.Conn, poolEnds[result])
+		s.pool.RecordOutcome(s.now, attempt.conn.Conn, poolOutcomes[result])
 		attempt.conn.attempt = nil
 	} else {
 		s.pool.CancelWait(attempt.server, attempt)
