--- a/internal/listcalls/lease.go
+++ b/internal/listcalls/lease.go
@@ -2,100 +2,97 @@
 
 import "time"
 
-// Times of a lease.
 const (
-	afterWait   = 2 * time.Second        // what a watch misses counts as notified so long after its wait
-	afterMove   = 4 * time.Second        // and what the list service has so long after its address has changed
-	firstSlack  = 100 * time.Millisecond // a call may be made so long after it was due
-	answerLag   = time.Second            // an answer may have been under way for so long when it is read
-	failedTimes = 4                      // asking times that a list may be used after a call that failed
+	watchGrace          = 2 * time.Second        // after the wait of a watch, what it missed counts as notified
+	moveGrace           = 4 * time.Second        // after the list service's address changed, the same
+	firstCallSlack      = 100 * time.Millisecond // how late the first call may be made after its due time
+	maxAnswerAge        = time.Second            // how long an answer may have been in transit when it is read
+	failedPollIntervals = 4                      // for so many a list may be used after a failed call
 )
 
-// Lease is until when the server list that a process holds may be used to send by: what changed since then
-// counts as notified by then at the earliest, whether or not this process has heard of it. Only an answer,
-// a watch that waits and a call that shows the service to be out of reach extend it; time that passes, a
-// pause or a call that is not answered do not. Its zero value has run out: a process that starts has heard
-// nothing. It is for lists that are asked for.
+// Lease is the time until which a process may send requests by the server list it holds: what has changed
+// since the list was received counts as notified at that time at the earliest, even if this process has
+// not received it. It is extended only by an answer, by a watch that waits for changes, and by a call that
+// shows the service to be unreachable; not by time that passes, by a pause or by a call without an answer.
+// The zero value has expired: a process that starts has received nothing. A Lease applies to polled lists.
 type Lease struct {
-	every time.Duration // the settings' time for asking; 0: they name none
-	until time.Duration // by what was heard and what failed
-	watch time.Duration // by the watch that is out; 0: none
-	// call is when it ends at the latest by the call that is out, where that does not go on with a watch;
-	// 0: no matter
+	pollInterval time.Duration // the settings' interval for polling; 0: not set
+	base         time.Duration // expiry by answers received and by calls that failed
+	watch        time.Duration // expiry by the pending watch; 0: none
+	// call is an upper limit on the expiry, by the pending call where that does not continue a watch; 0: none
 	call time.Duration
-	// most is when it ends at the latest, since a call fell silent and none was answered since; 0: no
-	// matter
-	most time.Duration
+	// silent is an upper limit on the expiry since a call timed out with no call answered since; 0: none
+	silent time.Duration
 }
 
-// Until is the moment from which on nothing may be sent by the list.
+// Until is the time from which on nothing may be sent by the list.
 func (l *Lease) Until() time.Duration {
-	until := max(l.until, l.watch)
+	until := max(l.base, l.watch)
 	if l.call > 0 {
 		until = min(until, l.call)
 	}
-	if l.most > 0 {
-		until = min(until, l.most)
+	if l.silent > 0 {
+		until = min(until, l.silent)
 	}
 	return until
 }
 
-// known takes in that a list from before is there, and that the first call is made at a moment.
-func (l *Lease) known(first time.Duration) { l.until = max(l.until, first+firstSlack) }
+// cached records that a list from an earlier process is known, and when the first call will be made.
+func (l *Lease) cached(firstCall time.Duration) { l.base = max(l.base, firstCall+firstCallSlack) }
 
-// watched takes in that a watch goes on with a call that is made at a moment, and may wait so long for
-// news.
-func (l *Lease) watched(now, wait time.Duration) { l.watch, l.call = now+wait+afterWait, 0 }
+// watchContinued records a call made now that continues a watch and may wait for changes for the given time.
+func (l *Lease) watchContinued(now, wait time.Duration) { l.watch, l.call = now+wait+watchGrace, 0 }
 
-// called takes in that a call is made at a moment after others failed, which may wait so long for news.
-// Until it is answered nobody can tell it from one that is lost, and what that misses counts as notified
-// soon.
-func (l *Lease) called(now, wait time.Duration) { l.call = now + wait + afterWait }
+// called records a call made now after others failed, which may wait for changes for the given time. Until
+// it is answered it can't be told from a call that is lost, and what a lost call misses counts as notified
+// soon after its wait.
+func (l *Lease) called(now, wait time.Duration) { l.call = now + wait + watchGrace }
 
-// answered takes in that the call that was out is answered. A proxy without a watch is held to its list for
-// the time for asking.
+// answered records that the pending call is answered. Without a watch, a proxy may use its list for one poll
+// interval only.
 func (l *Lease) answered(now time.Duration) {
-	l.watch, l.call, l.most = 0, 0, 0
-	l.until = now + NotifiedAfter - answerLag
-	if l.every > 0 {
-		l.until = min(l.until, now+l.every)
+	l.watch, l.call, l.silent = 0, 0, 0
+	l.base = now + NotifiedAfter - maxAnswerAge
+	if l.pollInterval > 0 {
+		l.base = min(l.base, now+l.pollInterval)
 	}
 }
 
-// failed takes in that the call that was out has failed: the service was out of reach.
+// failed records that the pending call has failed: the service was unreachable.
 func (l *Lease) failed(now time.Duration) {
 	l.watch, l.call = 0, 0
 	l.unreachable(now)
 }
 
-// silent takes in that a call was given up that began at a moment, reached the service and was allowed to
-// wait so long. What it misses counts as notified NewsBy after it fell silent, or after its wait, if that
-// is later, whatever becomes of the calls after it.
-func (l *Lease) silent(began, wait time.Duration) {
-	by := began + NotifiedAfter
+// timedOut records that a call got no answer in time that had reached the service. It started at start and
+// was allowed to wait for the given time. What it missed counts as notified NotifiedAfter after its start,
+// or watchGrace after its wait if that is later, regardless of the calls after it.
+func (l *Lease) timedOut(start, wait time.Duration) {
+	limit := start + NotifiedAfter
 	switch {
 	case l.watch > 0:
-		by = max(by, began+wait+afterWait)
-		l.watch = by
+		limit = max(limit, start+wait+watchGrace)
+		l.watch = limit
 	case l.call > 0:
-		by = l.call
+		limit = l.call
 	}
-	if l.most == 0 || by < l.most {
-		l.most = by
+	if l.silent == 0 || limit < l.silent {
+		l.silent = limit
 	}
 }
 
-// unreachable takes in that the service was out of reach at a moment: what it has counts as notified NewsBy
-// later at the earliest.
+// unreachable records that the service was unreachable at a time: what has changed there counts as notified
+// NotifiedAfter later at the earliest.
 func (l *Lease) unreachable(at time.Duration) {
-	least := NotifiedAfter
-	if l.every > 0 {
-		least = min(least, failedTimes*l.every)
+	extension := NotifiedAfter
+	if l.pollInterval > 0 {
+		extension = min(extension, failedPollIntervals*l.pollInterval)
 	}
-	l.until = max(l.until, at+least)
+	l.base = max(l.base, at+extension)
 }
 
-// moved takes in that the list is asked for elsewhere from now on. Several moves in a row do not extend it.
-func (l *Lease) moved(now time.Duration) {
-	l.until, l.watch, l.call, l.most = min(l.Until(), now+afterMove), 0, 0, 0
+// addressChanged records that the list service has a new address from now on. Several changes in a row do
+// not extend the lease.
+func (l *Lease) addressChanged(now time.Duration) {
+	l.base, l.watch, l.call, l.silent = min(l.Until(), now+moveGrace), 0, 0, 0
 }
--- a/internal/listcalls/listcalls_test.go
+++ b/internal/listcalls/listcalls_test.go
@@ -8,18 +8,18 @@
 
 const second = time.Second
 
-// service is a list service as one proxy's calls find it, over time. It answers a call after so long,
-// unless it turns it away at once or never answers.
+// service is a list service as seen by one proxy. It answers a call after a delay, unless it rejects the call
+// at once or never answers.
 type service struct {
 	down    func(now time.Duration) bool
-	silent  func(call int) bool
-	late    time.Duration
-	version int // that it has; a change at a moment makes it 2
-	changed time.Duration
+	silent  func(call int) bool // whether a call is never answered
+	delay   time.Duration
+	version int           // of the list; 2 after the change
+	changed time.Duration // time of the change
 }
 
-// heard plays one proxy's calls against a service and returns when it was told of the change.
-func heard(t *testing.T, cfg Config, s service, until time.Duration) time.Duration {
+// received simulates one proxy's calls to a service and returns when the proxy received the change.
+func received(t *testing.T, cfg Config, s service, until time.Duration) time.Duration {
 	t.Helper()
 	calls := New(cfg)
 	calls.SetVersionKnown(true)
@@ -36,13 +36,13 @@
 			if s.changed <= at {
 				at = max(now, s.changed)
 			}
-			if at += s.late; at <= c.Deadline {
+			if at += s.delay; at <= c.Deadline {
 				ends, answered = at, true
 			}
 		}
 		broke := false
 		for at := now; !broke && s.down != nil && at < ends; at += 10 * time.Millisecond {
-			if broke = s.down(at); broke { // a watch ends where the service goes down
+			if broke = s.down(at); broke { // a watch breaks when the service goes down
 				ends, answered = at+time.Millisecond, false
 			}
 		}
@@ -57,7 +57,7 @@
 		default:
 			next, ok := calls.TimeOut(now, c.Number)
 			if !ok {
-				t.Fatal("a call that is out was not given up")
+				t.Fatal("a pending call did not time out")
 			}
 			c = next
 			continue
@@ -67,15 +67,15 @@
 	return until
 }
 
-// between tells whether a moment lies in a span.
+// between returns whether a time is in [from, to).
 func between(from, to time.Duration) func(time.Duration) bool {
 	return func(now time.Duration) bool { return now >= from && now < to }
 }
 
-// TestNewsInTime is the promise: whatever became of calls, a change is heard of before it counts as
-// notified, with time left for the answer of a service that has many to answer. It holds as long as the
-// service can answer all proxies in less than half of that time.
-func TestNewsInTime(t *testing.T) {
+// TestReceivedInTime checks that a change is received before it counts as notified, whatever became of the
+// calls, with a margin for the answer of a service that many proxies call. This holds as long as the service
+// can answer all proxies in less than half of that time.
+func TestReceivedInTime(t *testing.T) {
 	const start, margin = 60 * second, second
 	for _, proxies := range []int{1, 2, 3, 4, 6, 8, 12, 16, 20, 24, 25, 40, 83, 300} {
 		for me := range proxies {
@@ -84,37 +84,39 @@
 			for _, outage := range []time.Duration{20 * time.Millisecond, second, 3 * second, 4 * second, 8 * second,
 				13 * second, 30 * second, 60 * second, 10 * time.Minute} {
 				back := start + outage
-				got := heard(t, cfg, service{down: between(start, back), changed: back}, back+20*second)
+				got := received(t, cfg, service{down: between(start, back), changed: back}, back+20*second)
 				if got-back > NotifiedAfter-margin {
-					t.Errorf("%d of %d, down for %v: heard %v after it was back", cfg.Index, proxies, outage, got-back)
+					t.Errorf("proxy %d of %d, service down for %v: received %v after its return", cfg.Index, proxies,
+						outage, got-back)
 				}
 			}
 		}
 	}
 }
 
-// TestSilence covers calls that are never answered: what the first misses counts 2 s after its wait or
-// NewsBy after it fell silent. One that falls silent costs no fleet the rule; two in a row cost none in
-// which the service can answer all within seconds.
-func TestSilence(t *testing.T) {
+// TestUnansweredCalls checks that a change is received in time although calls are never answered. What the
+// first of them misses counts as notified 2 s after its wait, or NotifiedAfter after its start if that is
+// later. The rule holds for every fleet after one such call, and after two in a row where the service can
+// answer all proxies within seconds.
+func TestUnansweredCalls(t *testing.T) {
 	for _, every := range []time.Duration{second, 1500 * time.Millisecond, 2 * second, 5 * second, 10 * second,
 		30 * second} {
 		for _, proxies := range []int{1, 4, 8, 20, 60, 300, 900} {
-			for _, row := range []int{1, 2} {
-				if row == 2 && proxies >= 60 {
-					continue // watches of so many are given up later: the lease ends first
+			for _, inARow := range []int{1, 2} {
+				if inARow == 2 && proxies >= 60 {
+					continue // watches of so many proxies time out later: the lease ends first
 				}
 				cfg := Config{Polled: true, PollInterval: every, DrainGrace: 250 * time.Millisecond,
 					Index: proxies / 2, Proxies: proxies}
 				for first := 2; first < 5; first++ {
-					silent := func(call int) bool { return call >= first && call < first+row }
-					began, wait := callAt(cfg, first)
-					changed := began + wait/4
-					by := max(changed+NotifiedAfter, began+wait+2*second)
-					got := heard(t, cfg, service{silent: silent, changed: changed}, time.Hour)
-					if got > by-200*time.Millisecond {
-						t.Errorf("every %v, %d proxies, %d silent from call %d: heard %v after it counts", every, proxies, row,
-							first, got-by)
+					silent := func(call int) bool { return call >= first && call < first+inARow }
+					start, wait := callAt(cfg, first)
+					changed := start + wait/4
+					notified := max(changed+NotifiedAfter, start+wait+2*second)
+					got := received(t, cfg, service{silent: silent, changed: changed}, time.Hour)
+					if got > notified-200*time.Millisecond {
+						t.Errorf("every %v, %d proxies, %d silent from call %d: received %v after it counts as notified", every,
+							proxies, inARow, first, got-notified)
 					}
 				}
 			}
@@ -122,8 +124,8 @@
 	}
 }
 
-// callAt is when a call begins that only quiet ones came before, and how long it waits.
-func callAt(cfg Config, number int) (began, wait time.Duration) {
+// callAt returns when a call starts after calls that returned no change, and how long it waits.
+func callAt(cfg Config, number int) (start, wait time.Duration) {
 	calls := New(cfg)
 	calls.SetVersionKnown(true)
 	now := calls.FirstCall(0)
@@ -136,67 +138,67 @@
 	}
 }
 
-// TestSlowService covers a service that answers every call late: the time that calls get grows until one is
+// TestSlowService checks that at a service that answers every call late, the timeout grows until a call is
 // answered.
 func TestSlowService(t *testing.T) {
-	for _, late := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2 * second,
+	for _, delay := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond, 2 * second,
 		3500 * time.Millisecond} {
 		for _, proxies := range []int{1, 4, 60, 300} {
 			cfg := Config{Polled: true, PollInterval: 10 * second, Index: proxies - 1, Proxies: proxies}
-			if got := heard(t, cfg, service{late: late, changed: 30 * second}, 2*time.Minute); got > 60*second {
-				t.Errorf("%d proxies, answers after %v: heard at %v", proxies, late, got)
+			if got := received(t, cfg, service{delay: delay, changed: 30 * second}, 2*time.Minute); got > 60*second {
+				t.Errorf("%d proxies, answers after %v: received at %v", proxies, delay, got)
 			}
 		}
 	}
 }
 
-// TestLargeFleets bounds what the proxies of a large fleet cost a service where every call fails in its
-// queue: half a call a second for each of them, in any five seconds. Whatever their number, and whether or
-// not it is known what a call costs, each hears of news in the time in which they count as notified.
+// TestLargeFleets checks the rate of calls where every call fails in the service's queue: at most half a
+// call per second and proxy, over any five seconds. Whatever the number of proxies, and whether or not the
+// cost of a call is known, each of them receives a change before it counts as notified.
 func TestLargeFleets(t *testing.T) {
 	const seconds, from, window = 40, 15, 5
-	const mostEach = 0.5 // calls a second
+	const maxRate = 0.5 // calls per second and proxy
 	for _, proxies := range []int{60, 150, 300, 900} {
-		var begun [seconds]int
+		var started [seconds]int // calls, by second
 		for me := range proxies {
 			calls := New(Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies})
 			calls.SetVersionKnown(true)
 			calls.Begin(0)
 			for now := calls.Failed(5 * second); now < seconds*second; now = calls.Failed(now + 2*second) {
-				begun[now/second]++
+				started[now/second]++
 				calls.Begin(now)
 			}
 		}
 		for at := from; at+window <= seconds; at++ {
 			n := 0
-			for _, in := range begun[at : at+window] {
+			for _, in := range started[at : at+window] {
 				n += in
 			}
-			if most := mostEach * window * float64(proxies); float64(n) > most {
-				t.Errorf("%d proxies: %d calls from second %d on, at most %.0f: %v", proxies, n, at, most, begun)
+			if limit := maxRate * window * float64(proxies); float64(n) > limit {
+				t.Errorf("%d proxies: %d calls from second %d on, at most %.0f: %v", proxies, n, at, limit, started)
 			}
 		}
 		for _, me := range []int{0, proxies / 2, proxies - 1} {
 			cfg := Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies}
 			back := 90 * second
-			got := heard(t, cfg, service{down: between(60*second, back), changed: back}, back+20*second)
+			got := received(t, cfg, service{down: between(60*second, back), changed: back}, back+20*second)
 			if got-back > NotifiedAfter {
-				t.Errorf("%d of %d proxies: heard %v after the service was back", me, proxies, got-back)
+				t.Errorf("proxy %d of %d: received %v after the service's return", me, proxies, got-back)
 			}
 		}
 	}
 }
 
-// TestPushed covers lists that are pushed: a call that failed is made anew within the drain's grace.
+// TestPushed checks that for pushed lists a failed call is repeated within the drain's grace.
 func TestPushed(t *testing.T) {
-	for _, tc := range []struct{ grace, most time.Duration }{{250 * time.Millisecond, 90 * time.Millisecond},
+	for _, tc := range []struct{ grace, maxPause time.Duration }{{250 * time.Millisecond, 90 * time.Millisecond},
 		{0, 25 * time.Millisecond}, {second, 350 * time.Millisecond}} {
 		calls := New(Config{DrainGrace: tc.grace, Proxies: 300, Index: 299})
 		now := time.Duration(0)
 		for range 10 {
 			calls.Begin(now)
 			next := calls.Failed(now)
-			if next-now < pausePushed || next-now > tc.most {
+			if next-now < pushRetryPause || next-now > tc.maxPause {
 				t.Errorf("grace %v: called again after %v", tc.grace, next-now)
 			}
 			now = next
@@ -204,8 +206,8 @@
 	}
 }
 
-// TestRandomCalls drives schedules by chance: one call is out at a time, none is put off beyond what the
-// promise allows, and the end of an older call changes nothing.
+// TestRandomCalls runs schedules on random events: one call is pending at a time, none is delayed for longer
+// than the protocol's promise allows, and the timeout of an older call has no effect.
 func TestRandomCalls(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -223,10 +225,10 @@
 				t.Fatalf("seed %d: %+v, %t at %v", seed, c, ok, now)
 			}
 			if _, ok := calls.Begin(now); ok {
-				t.Fatalf("seed %d: two calls are out", seed)
+				t.Fatalf("seed %d: two calls are pending", seed)
 			}
 			if _, ok := calls.TimeOut(now, c.Number-1); ok {
-				t.Fatalf("seed %d: an older call was given up", seed)
+				t.Fatalf("seed %d: an older call timed out", seed)
 			}
 			for rng.IntN(4) == 0 {
 				now = c.Deadline
@@ -240,48 +242,47 @@
 				next = calls.Answered(ended, Answer{Full: rng.IntN(2) == 0, Unchanged: rng.IntN(2) == 0,
 					VersionKnown: true})
 			}
-			most := NotifiedAfter - 2*second
-			if next < ended || next-ended > most {
-				t.Fatalf("seed %d: the next call is %v after the last one's end", seed, next-ended)
+			maxPause := NotifiedAfter - 2*second
+			if next < ended || next-ended > maxPause {
+				t.Fatalf("seed %d: the next call comes %v after the end of the last one", seed, next-ended)
 			}
 			now = next
 		}
 	}
 }
 
-// TestSlowIsNotSilent covers how long a call may take that doesn't wait: the most at a service that was not
-// seen or is slow, little at one that was seen to be quick, also where it counts a wait shorter by a
-// millisecond.
-func TestSlowIsNotSilent(t *testing.T) {
+// TestAnswerTimeout checks the timeout of a call that doesn't wait: the maximum at a service whose lag is not
+// known or that is slow, the minimum at one that is fast, also where it rounds a wait down by a millisecond.
+func TestAnswerTimeout(t *testing.T) {
 	for name, tc := range map[string]struct {
-		lag  time.Duration // of the answer to a quiet watch
-		seen bool
-		want time.Duration
+		lag   time.Duration // of the answer to a watch without changes
+		known bool
+		want  time.Duration
 	}{
-		"never seen":         {want: answerMost},
-		"quick":              {lag: 3 * time.Millisecond, seen: true, want: answerLeast},
-		"a millisecond less": {lag: -time.Millisecond, seen: true, want: answerLeast},
-		"slow":               {lag: 700 * time.Millisecond, seen: true, want: 2800 * time.Millisecond},
-		"very slow":          {lag: 3 * second, seen: true, want: answerMost},
+		"not known":          {want: maxAnswerTimeout},
+		"fast":               {lag: 3 * time.Millisecond, known: true, want: minAnswerTimeout},
+		"a millisecond less": {lag: -time.Millisecond, known: true, want: minAnswerTimeout},
+		"slow":               {lag: 700 * time.Millisecond, known: true, want: 2800 * time.Millisecond},
+		"very slow":          {lag: 3 * second, known: true, want: maxAnswerTimeout},
 	} {
 		calls := New(Config{Polled: true, PollInterval: 10 * second, Index: 1, Proxies: 6})
 		calls.SetVersionKnown(true)
 		c, _ := calls.Begin(0)
 		now := time.Duration(0)
-		if tc.seen {
+		if tc.known {
 			now = calls.Answered(c.Wait+tc.lag, Answer{Unchanged: true, VersionKnown: true})
 			c, _ = calls.Begin(now)
 		}
-		check, _ := calls.TimeOut(c.Deadline, c.Number)
-		if got := check.Deadline - c.Deadline; check.Wait != 0 || got != tc.want {
-			t.Errorf("%s: the check waits %v and is given up after %v, want %v", name, check.Wait, got, tc.want)
+		next, _ := calls.TimeOut(c.Deadline, c.Number)
+		if got := next.Deadline - c.Deadline; next.Wait != 0 || got != tc.want {
+			t.Errorf("%s: the next call waits %v and times out after %v, want %v", name, next.Wait, got, tc.want)
 		}
 	}
 }
 
-// TestWorkLeavesTimeForRequests covers an answer that was dear to take in: a pause follows in any state,
-// and one that is shorter than a watch goes on without a call.
-func TestWorkLeavesTimeForRequests(t *testing.T) {
+// TestProcessingLeavesTimeForRequests checks that a pause follows an answer that was expensive to process, in
+// any state, and that it is shorter than the time for which a watch continues without a call.
+func TestProcessingLeavesTimeForRequests(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		calls := New(Config{Polled: true, PollInterval: 10 * second, Index: 1, Proxies: 6})
 		calls.SetVersionKnown(true)
@@ -294,7 +295,7 @@
 		now += 10 * time.Millisecond
 		next := calls.Answered(now, Answer{Full: true, VersionKnown: true, ProcessingTime: 40 * time.Millisecond})
 		if pause := next - now; pause < 100*time.Millisecond || pause >= 200*time.Millisecond {
-			t.Errorf("failed before %t: the next call comes %v after", failed, pause)
+			t.Errorf("failed before %t: the next call comes %v after the answer", failed, pause)
 		}
 	}
 }
