--- a/internal/serverlist/changes.go
+++ b/internal/serverlist/changes.go
@@ -2,19 +2,20 @@
 
 import lg "lilacglade"
 
-// Change is what a document changed of one server.
+// Change is what a document changed in one server.
 type Change struct {
 	Name  string
 	State lg.State
-	// Restarted: it was there before with another start time
+	// Restarted is set if the server was listed before with another start time.
 	Restarted bool
 }
 
-// Changes lists what the last document that was taken in changed, by name. It holds until the next one.
-func (s *Store) Changes() []Change { return s.changed }
+// Changes returns what the last applied document changed, sorted by name. The slice is valid until the next
+// document is applied.
+func (s *Store) Changes() []Change { return s.lastChanges }
 
-// Version is the version of the list as told last.
+// Version is the version of the last document.
 func (s *Store) Version() uint64 { return s.version }
 
-// Name is the name of a server that the list names, "" for others.
-func (s *Store) Name(id lg.ServerID) string { return s.told[id].in.ID }
+// Name is the name of a listed server, "" if it is not listed.
+func (s *Store) Name(id lg.ServerID) string { return s.records[id].instance.ID }
--- a/internal/serverlist/decode.go
+++ b/internal/serverlist/decode.go
@@ -15,18 +15,18 @@
 	lg "lilacglade"
 )
 
-// Document is an answer of discovery that was read and makes sense by itself: the whole list, or what changed
-// since a version. A Set says whether it fits what is known.
+// Document is a decoded answer of discovery, valid in itself: the full list, or the changes since a version.
+// A Store checks it against the current list.
 type Document struct {
 	version   uint64
-	whole     bool
+	full      bool
 	instances []instance
 }
 
-// IsFull tells whether it names every server there is.
-func (d *Document) IsFull() bool { return d.whole }
+// IsFull reports whether the document is the full list.
+func (d *Document) IsFull() bool { return d.full }
 
-// instance is one line of a document.
+// instance is one element of a document.
 type instance struct {
 	ID      string  `json:"instanceId"`
 	Addr    string  `json:"hostPort"`
@@ -37,49 +37,49 @@
 	Weight  float64 `json:"weight"`
 	Started float64 `json:"startedAtMs"`
 
-	key lg.ServerID // the number of ID
+	key lg.ServerID // derived from ID
 }
 
 var states = map[string]lg.State{"ready": lg.Ready, "draining": lg.Draining, "gone": lg.Gone}
 
-// maxStarted is far beyond any Unix time in milliseconds that a clock shows.
+// maxStarted is an upper limit on start times, a Unix time in milliseconds far in the future.
 const maxStarted = 1 << 45
 
-// Decoder reads documents. Lines that it has read before it knows again by their bytes, so that a whole list
-// of thousands costs little more than the lines that changed. Its zero value is ready for use, by several
-// goroutines at once.
+// Decoder decodes documents. It caches decoded instances by their bytes, so that a full list of thousands of
+// servers costs little more than the instances that changed. The zero value is ready to use, and safe for
+// concurrent use.
 type Decoder struct {
-	mu    sync.Mutex
-	lines map[uint64]line // by the hash of their bytes
-	round uint64
+	mu        sync.Mutex
+	cache     map[uint64]cached // by the hash of their bytes
+	documents uint64            // number of documents decoded
 }
 
-// line is an instance as it was read, and its bytes.
-type line struct {
-	raw   string
-	in    instance
-	round uint64 // of the document that had it last
+// cached is a decoded instance and its bytes.
+type cached struct {
+	raw      string
+	instance instance
+	document uint64 // number of the last document that contained it
 }
 
-// mostLines bounds the lines that a Decoder remembers between two whole lists.
-const mostLines = 16384
+// maxCached limits the instances that a Decoder caches between two full lists.
+const maxCached = 16384
 
-// Decode reads a document, or says what is wrong with it.
+// Decode decodes a document.
 func (d *Decoder) Decode(raw []byte) (Document, error) {
 	if !gjson.ValidBytes(raw) {
 		return Document{}, notJSON(raw)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.round++
+	d.documents++
 	var doc Document
-	var version, whole, instances gjson.Result
+	var version, full, instances gjson.Result
 	gjson.ParseBytes(raw).ForEach(func(key, value gjson.Result) bool {
 		switch key.String() {
 		case "generation":
 			version = value
 		case "reset":
-			whole = value
+			full = value
 		case "instances":
 			instances = value
 		}
@@ -91,18 +91,18 @@
 	if err := json.Unmarshal([]byte(version.Raw), &doc.version); err != nil {
 		return Document{}, fmt.Errorf("generation: %w", err)
 	}
-	if doc.whole = whole.Type == gjson.True; whole.Exists() && !whole.IsBool() {
-		return Document{}, fmt.Errorf("reset: %s is neither true nor false", whole.Raw)
+	if doc.full = full.Type == gjson.True; full.Exists() && !full.IsBool() {
+		return Document{}, fmt.Errorf("reset: %s is neither true nor false", full.Raw)
 	}
 	if instances.Type != gjson.Null && !instances.IsArray() {
 		return Document{}, errors.New("instances: not an array")
 	}
 	err := d.instances(&doc, instances)
-	d.forget(doc.whole)
+	d.evict(doc.full)
 	return doc, err
 }
 
-// notJSON says why bytes are no JSON document.
+// notJSON returns why bytes are not a JSON document.
 func notJSON(raw []byte) error {
 	var any json.RawMessage
 	if err := json.Unmarshal(raw, &any); err != nil {
@@ -111,15 +111,15 @@
 	return errors.New("not a JSON document")
 }
 
-// instances reads a document's lines.
+// instances decodes a document's instances.
 func (d *Decoder) instances(doc *Document, array gjson.Result) (err error) {
 	if !array.IsArray() {
-		return nil // null, or missing: no news
+		return nil // null, or missing: no changes
 	}
-	seen := make(map[lg.ServerID]bool, len(d.lines))
+	seen := make(map[lg.ServerID]bool, len(d.cache))
 	array.ForEach(func(_, value gjson.Result) bool {
 		var in instance
-		if in, err = d.line(value.Raw); err != nil {
+		if in, err = d.instance(value.Raw); err != nil {
 			return false
 		}
 		if seen[in.key] {
@@ -133,13 +133,13 @@
 	return err
 }
 
-// line reads one line, unless it is known.
-func (d *Decoder) line(raw string) (instance, error) {
+// instance decodes one instance, unless it is cached.
+func (d *Decoder) instance(raw string) (instance, error) {
 	hash := xxhash.Sum64String(raw)
-	if known, ok := d.lines[hash]; ok && known.raw == raw {
-		known.round = d.round
-		d.lines[hash] = known
-		return known.in, nil
+	if known, ok := d.cache[hash]; ok && known.raw == raw {
+		known.document = d.documents
+		d.cache[hash] = known
+		return known.instance, nil
 	}
 	var in instance
 	if err := json.Unmarshal([]byte(raw), &in); err != nil {
@@ -149,23 +149,23 @@
 	if err := in.check(); err != nil {
 		return in, err
 	}
-	if d.lines == nil {
-		d.lines = map[uint64]line{}
+	if d.cache == nil {
+		d.cache = map[uint64]cached{}
 	}
-	d.lines[hash] = line{raw: strings.Clone(raw), in: in, round: d.round}
+	d.cache[hash] = cached{raw: strings.Clone(raw), instance: in, document: d.documents}
 	return in, nil
 }
 
-// check tells what is wrong with an instance.
+// check validates an instance.
 func (in *instance) check() error {
 	state, ok := states[in.State]
-	addr, bad := netip.ParseAddrPort(in.Addr)
+	addr, err := netip.ParseAddrPort(in.Addr)
 	switch {
 	case in.ID == "":
 		return errors.New(`instanceId "" is empty or repeated`)
 	case !ok:
 		return fmt.Errorf("instance %s: unknown lifecycle %q", in.ID, in.State)
-	case state != lg.Gone && (bad != nil || addr.Port() == 0):
+	case state != lg.Gone && (err != nil || addr.Port() == 0):
 		return fmt.Errorf("instance %s: hostPort %q", in.ID, in.Addr)
 	case in.Weight < 0 || math.IsInf(in.Weight, 0):
 		return fmt.Errorf("instance %s: weight %v", in.ID, in.Weight)
@@ -175,14 +175,14 @@
 	return nil
 }
 
-// forget drops lines of older documents: after a whole list all but its own, else those beyond a bound.
-func (d *Decoder) forget(whole bool) {
-	if !whole && len(d.lines) <= mostLines {
+// evict drops cached instances of older documents: after a full list, or above maxCached.
+func (d *Decoder) evict(full bool) {
+	if !full && len(d.cache) <= maxCached {
 		return
 	}
-	for hash, one := range d.lines {
-		if one.round != d.round {
-			delete(d.lines, hash)
+	for hash, entry := range d.cache {
+		if entry.document != d.documents {
+			delete(d.cache, hash)
 		}
 	}
 }
--- a/internal/serverlist/decode_test.go
+++ b/internal/serverlist/decode_test.go
@@ -12,12 +12,12 @@
 	lg "lilacglade"
 )
 
-// TestDecodeAgainstTheLibrary holds that documents read line by line, of which many lines are known, are what
-// encoding/json makes of the whole.
-func TestDecodeAgainstTheLibrary(t *testing.T) {
+// TestDecodeMatchesEncodingJSON checks that documents decoded instance by instance, with many
+// instances from the cache, equal what encoding/json decodes from the entire document.
+func TestDecodeMatchesEncodingJSON(t *testing.T) {
 	rng := rand.New(rand.NewPCG(41, 1))
 	d := new(Decoder)
-	line := func(i int) string {
+	instanceJSON := func(i int) string {
 		raw, err := json.Marshal(instance{ID: fmt.Sprintf("s-%d \"\u00e9", i), Addr: "127.0.0.1:81",
 			Zone: []string{"a", "b"}[rng.IntN(2)], Kind: "m", Cell: rng.IntN(3),
 			State: []string{"ready", "draining", "gone"}[rng.IntN(3)], Weight: rng.Float64() * 4,
@@ -27,26 +27,26 @@
 		}
 		return string(raw)
 	}
-	lines := make([]string, 300)
-	for i := range lines {
-		lines[i] = line(i)
+	instances := make([]string, 300)
+	for i := range instances {
+		instances[i] = instanceJSON(i)
 	}
 	for round := range 200 {
 		for range rng.IntN(5) {
-			i := rng.IntN(len(lines))
-			lines[i] = line(i)
+			i := rng.IntN(len(instances))
+			instances[i] = instanceJSON(i)
 		}
-		from := rng.IntN(len(lines))
+		from := rng.IntN(len(instances))
 		sep := []string{",", " ,\n\t"}[rng.IntN(2)]
 		raw := fmt.Sprintf(`{"generation":%d,"reset":%t,"other":[{"instances":1}],"instances":[%s]}`, round,
-			from == 0, strings.Join(lines[from:], sep))
+			from == 0, strings.Join(instances[from:], sep))
 		got, err := d.Decode([]byte(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var want struct {
 			Version   uint64     `json:"generation"`
-			Whole     bool       `json:"reset"`
+			Full      bool       `json:"reset"`
 			Instances []instance `json:"instances"`
 		}
 		if err := json.Unmarshal([]byte(raw), &want); err != nil {
@@ -55,15 +55,15 @@
 		for i := range want.Instances {
 			want.Instances[i].key = ID(want.Instances[i].ID)
 		}
-		if got.version != want.Version || got.whole != want.Whole ||
+		if got.version != want.Version || got.full != want.Full ||
 			!reflect.DeepEqual(got.instances, want.Instances) {
 			t.Fatalf("round %d: %d instances, want %d", round, len(got.instances), len(want.Instances))
 		}
 	}
 }
 
-// TestDecodeNonsense covers documents whose parts are of another kind than they should be.
-func TestDecodeNonsense(t *testing.T) {
+// TestDecodeInvalid checks that documents with values of a wrong type are rejected.
+func TestDecodeInvalid(t *testing.T) {
 	for raw, want := range map[string]string{
 		``:      "unexpected end",
 		`nulll`: "invalid character",
@@ -82,120 +82,123 @@
 		}
 	}
 	if _, err := new(Decoder).Decode([]byte(`{"generation":1,"instances":null}`)); err != nil {
-		t.Errorf("a document without news: %v", err)
+		t.Errorf("a document without changes: %v", err)
 	}
 }
 
-// TestDecoderIsBounded holds the memory of lines to those of the last whole list, or a bound.
-func TestDecoderIsBounded(t *testing.T) {
+// TestDecoderCacheIsLimited checks that the cache holds the instances of the last full list, or maxCached.
+func TestDecoderCacheIsLimited(t *testing.T) {
 	d := new(Decoder)
-	for i := range 3 * mostLines {
+	for i := range 3 * maxCached {
 		raw := doc(fmt.Sprint(i), "false", entry(fmt.Sprint("s", i), "1.1.1.1:1", "ready", "1", "0"))
 		if _, err := d.Decode(raw); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(d.lines) > mostLines+1 {
-		t.Errorf("%d lines are kept", len(d.lines))
+	if len(d.cache) > maxCached+1 {
+		t.Errorf("%d instances are cached", len(d.cache))
 	}
-	if _, err := d.Decode(doc("9", "true", good)); err != nil || len(d.lines) != 1 {
-		t.Errorf("%v; %d lines are kept after a whole list of one", err, len(d.lines))
+	if _, err := d.Decode(doc("9", "true", good)); err != nil || len(d.cache) != 1 {
+		t.Errorf("%v; %d instances are cached after a full list of one", err, len(d.cache))
 	}
 }
 
-// TestDifferencesMakeTheList holds that who goes by the changes that a Set returns knows the list that it was
-// given, whole or in changes, with lines that are repeated, gone, unknown and gone, or no longer named.
-func TestDifferencesMakeTheList(t *testing.T) {
+// TestChangesMakeTheList checks that the changes that a Store returns add up to the list it received, in full
+// or as changes, with instances that are repeated, gone, unknown and gone, or no longer named.
+func TestChangesMakeTheList(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		s, d := New([]string{"b"}, []string{"m2"}, time.UnixMilli(1700000000000)), new(Decoder)
+		store, decoder := New([]string{"b"}, []string{"m2"}, time.UnixMilli(1700000000000)), new(Decoder)
 		model, known := map[string]string{}, map[lg.ServerID]lg.Server{}
 		for version := 1; version < 60; version++ {
-			whole := version == 1 || rng.IntN(4) == 0
-			var lines []string
-			if whole && rng.IntN(3) > 0 {
+			full := version == 1 || rng.IntN(4) == 0
+			var entries []string
+			if full && rng.IntN(3) > 0 {
 				model = map[string]string{}
 			}
 			for range 1 + rng.IntN(6) {
 				id, state := fmt.Sprint("s", rng.IntN(9)), []string{"ready", "draining", "gone"}[rng.IntN(3)]
 				model[id] = entry(id, fmt.Sprint("127.0.0.1:", 1+rng.IntN(3)), state, "1", "0")
-				if !whole {
-					lines = append(lines, model[id])
+				if !full {
+					entries = append(entries, model[id])
 				}
 			}
-			if whole {
-				for _, line := range model {
-					lines = append(lines, line)
+			if full {
+				for _, entry := range model {
+					entries = append(entries, entry)
 				}
 			} else {
-				lines = unique(lines, model)
+				entries = unique(entries, model)
 			}
-			read, err := d.Decode(doc(fmt.Sprint(version), fmt.Sprint(whole), strings.Join(lines, ",")))
+			decoded, err := decoder.Decode(doc(fmt.Sprint(version), fmt.Sprint(full), strings.Join(entries, ",")))
 			if err != nil {
 				t.Fatal(err)
 			}
-			list, err := s.Apply(read, testNow)
+			list, err := store.Apply(decoded, testNow)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if list.Kind == lg.FullList {
 				clear(known)
 			}
-			for _, l := range list.Servers {
-				if known[l.ID] = l; l.State == lg.Gone {
-					delete(known, l.ID)
+			for _, server := range list.Servers {
+				if known[server.ID] = server; server.State == lg.Gone {
+					delete(known, server.ID)
 				}
 			}
-			for id, line := range model {
-				if strings.Contains(line, `"gone"`) {
+			for id, entry := range model {
+				if strings.Contains(entry, `"gone"`) {
 					delete(model, id)
 				}
 			}
-			check(t, seed, s, model, known)
+			check(t, seed, store, model, known)
 		}
 	}
 }
 
-// unique drops all but the last line of each server, as a document names each once.
-func unique(lines []string, model map[string]string) (last []string) {
-	for _, line := range lines {
-		for _, now := range model {
-			if line == now && !strings.Contains(strings.Join(last, ","), line) {
-				last = append(last, line)
+// unique drops all but the last entry of each server, since a document names each server once.
+func unique(entries []string, model map[string]string) (last []string) {
+	for _, entry := range entries {
+		for _, current := range model {
+			if entry == current && !strings.Contains(strings.Join(last, ","), entry) {
+				last = append(last, entry)
 			}
 		}
 	}
 	return last
 }
 
-func check(t *testing.T, seed uint64, s *Store, model map[string]string, known map[lg.ServerID]lg.Server) {
+// check compares the model with the servers known from the Store's changes and with the Store's own records.
+func check(t *testing.T, seed uint64, store *Store, model map[string]string,
+	known map[lg.ServerID]lg.Server) {
 	t.Helper()
-	if len(model) != len(known) || len(model) != len(s.told) {
-		t.Fatalf("seed %d: %d listed, %d known, %d by the Set", seed, len(model), len(known), len(s.told))
+	if len(model) != len(known) || len(model) != len(store.records) {
+		t.Fatalf("seed %d: %d listed, %d known, %d in the Store", seed, len(model), len(known), len(store.records))
 	}
-	for id, line := range model {
-		l := known[ID(id)]
-		if got := []string{"ready", "draining"}[l.State]; !strings.Contains(line, got) ||
-			!strings.Contains(line, s.Address(l.ID)+`"`) {
-			t.Fatalf("seed %d: %s is known as %+v at %s", seed, line, l, s.Address(l.ID))
+	for id, entry := range model {
+		server := known[ID(id)]
+		if got := []string{"ready", "draining"}[server.State]; !strings.Contains(entry, got) ||
+			!strings.Contains(entry, store.Address(server.ID)+`"`) {
+			t.Fatalf("seed %d: %s is known as %+v at %s", seed, entry, server, store.Address(server.ID))
 		}
 	}
 }
 
-// BenchmarkWholeListUnchanged is a whole list of thousands in which one line differs from the last.
+// BenchmarkWholeListUnchanged decodes and applies a full list of thousands of servers, one of them changed.
 func BenchmarkWholeListUnchanged(b *testing.B) {
-	lines := make([]string, 3200)
-	for i := range lines {
-		lines[i] = entry(fmt.Sprint("s-", i), "127.0.0.1:81", "ready", "1", "0")
+	entries := make([]string, 3200)
+	for i := range entries {
+		entries[i] = entry(fmt.Sprint("s-", i), "127.0.0.1:81", "ready", "1", "0")
 	}
-	d, s := new(Decoder), New([]string{"b"}, []string{"m2"}, time.UnixMilli(1700000000000))
+	decoder, store := new(Decoder), New([]string{"b"}, []string{"m2"}, time.UnixMilli(1700000000000))
 	for i := range b.N {
-		lines[i%len(lines)] = entry(fmt.Sprint("s-", i%len(lines)), "127.0.0.1:81", "draining", "1", fmt.Sprint(i))
-		read, err := d.Decode(doc(fmt.Sprint(i+1), "true", strings.Join(lines, ",")))
+		entries[i%len(entries)] = entry(fmt.Sprint("s-", i%len(entries)), "127.0.0.1:81", "draining", "1",
+			fmt.Sprint(i))
+		decoded, err := decoder.Decode(doc(fmt.Sprint(i+1), "true", strings.Join(entries, ",")))
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := s.Apply(read, testNow); err != nil {
+		if _, err := store.Apply(decoded, testNow); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,5 +1,5 @@
-// Package serverlist holds the server list: discovery's documents, their versions, and where
-// each next hop listens.
+// Package serverlist keeps the server list: it decodes discovery's documents, tracks their versions, and
+// knows the address of each server.
 package serverlist
 
 import (
@@ -16,216 +16,216 @@
 	lg "lilacglade"
 )
 
-// listed is an instance as it is listed, and the last document that named it.
-type listed struct {
-	in    instance
-	round uint64
+// record is a listed instance and the number of the last document that named it.
+type record struct {
+	instance instance
+	document uint64
 }
 
-// Store is the server list as last told.
+// Store holds the server list as last received.
 type Store struct {
-	version uint64 // as told last; any number may be one, 0 too
-	changes bool   // what has changed since is wanted next, else the whole list
+	version     uint64 // of the last document; any number is valid, 0 too
+	incremental bool   // the next query asks for the changes since version, else for the full list
 
 	zones, kinds []string
-	starts       *starts
-	told         map[lg.ServerID]listed // as told last
-	round        uint64                 // documents taken in
-	given        bool                   // a whole list was returned: from then on what changes is enough
-	changed      []Change               // by the last document that was taken in
+	startTimes   *startTimes
+	records      map[lg.ServerID]record
+	documents    uint64   // number of documents applied
+	fullReturned bool     // a full list was returned to the caller: from then on only changes are
+	lastChanges  []Change // by the last document that was applied
 }
 
-// New returns an empty Set. The names give zones and kinds their numbers; epoch is the
-// moment at which the proxy's clock read 0, by the wall clock.
+// New returns an empty Store. Zones and kinds are numbered by their index in the given names; epoch is the
+// wall-clock time at which the proxy's clock read 0.
 func New(zones, kinds []string, epoch time.Time) *Store {
-	return emptySet(zones, kinds, newStarts(epoch))
+	return newStore(zones, kinds, newStartTimes(epoch))
 }
 
-// WithNames returns an empty Set with other names, that knows what this one knows of servers' start times.
-func (s *Store) WithNames(zones, kinds []string) *Store { return emptySet(zones, kinds, s.starts) }
+// WithNames returns an empty Store with other zones and kinds that shares the known start times of servers.
+func (s *Store) WithNames(zones, kinds []string) *Store { return newStore(zones, kinds, s.startTimes) }
 
-func emptySet(zones, kinds []string, known *starts) *Store {
-	return &Store{zones: zones, kinds: kinds, starts: known, told: map[lg.ServerID]listed{}}
+func newStore(zones, kinds []string, known *startTimes) *Store {
+	return &Store{zones: zones, kinds: kinds, startTimes: known, records: map[lg.ServerID]record{}}
 }
 
-// Epoch is the Unix time at which the proxy's clock read 0, as far as is known.
-func (s *Store) Epoch() time.Duration { return s.starts.epoch() }
+// Epoch is the best estimate of the Unix time at which the proxy's clock read 0.
+func (s *Store) Epoch() time.Duration { return s.startTimes.epoch() }
 
-// ClockError is by how much the wall clock was wrong when the process started, as far as discovery's start
-// times tell; 0: nothing speaks against it.
-func (s *Store) ClockError() time.Duration { return s.starts.wall - s.starts.epoch() }
+// ClockError is how far the wall clock was ahead when the process started, as discovery's start times show;
+// 0: they are consistent with it.
+func (s *Store) ClockError() time.Duration { return s.startTimes.wallEpoch - s.startTimes.epoch() }
 
-// SetEpoch has it be what another process on this machine knew, in place of what the wall clock said.
-func (s *Store) SetEpoch(epoch time.Duration) { s.starts.wall = epoch }
+// SetEpoch replaces the wall clock's epoch by the one that another process on this host had determined.
+func (s *Store) SetEpoch(epoch time.Duration) { s.startTimes.wallEpoch = epoch }
 
-// Address tells where a next hop listens, "" when the server list doesn't name it.
-func (s *Store) Address(id lg.ServerID) string { return s.told[id].in.Addr }
+// Address is the address at which a server listens, "" if it is not listed.
+func (s *Store) Address(id lg.ServerID) string { return s.records[id].instance.Addr }
 
-// ID is the number of an instance, the same at every proxy. It comes from the instance's
-// name, since addresses may differ from one proxy to the next.
+// ID is the number of an instance, the same at every proxy. It is derived from the instance's name, since
+// addresses may differ between proxies.
 func ID(instance string) lg.ServerID { return lg.ServerID(Hash([]byte(instance))) }
 
-// Hash maps a name to a number, the same at every proxy.
+// Hash is a hash of a name (FNV-1a), the same at every proxy.
 func Hash(name []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(name)
 	return h.Sum64()
 }
 
-// RequestFull has the whole list asked for next: another discovery may count its own way.
-func (s *Store) RequestFull() { s.changes = false }
+// RequestFull makes the next query ask for the full list: another discovery may number its versions
+// differently.
+func (s *Store) RequestFull() { s.incremental = false }
 
-// Apply takes in a document that discovery gave at a moment on the proxy's clock, and returns what it
-// changed: a list of changes, but for the first whole list, which is returned as such. One that does not fit
-// what is known changes nothing but what is asked for next: the last good server list stays, and the whole
-// list is wanted next.
+// Apply applies a document that was received at a time on the proxy's clock, and returns the changes, or the
+// full list for the first full document. An invalid document is not applied: the last good server list
+// stays in use, and the next query asks for the full list.
 func (s *Store) Apply(doc Document, now time.Duration) (lg.List, error) {
-	if err := s.fits(doc); err != nil {
+	if err := s.validate(doc); err != nil {
 		s.RequestFull()
 		return lg.List{}, fmt.Errorf("server list: %w", err)
 	}
-	return s.learn(doc, now, false), nil
+	return s.merge(doc, now, false), nil
 }
 
-// ApplyCached takes in a document from before this process.
+// ApplyCached applies a document that an earlier process has stored, and returns the full list.
 func (s *Store) ApplyCached(doc Document, now time.Duration) (lg.List, error) {
-	if err := s.fits(doc); err != nil {
+	if err := s.validate(doc); err != nil {
 		s.RequestFull()
 		return lg.List{}, fmt.Errorf("server list: %w", err)
 	}
-	s.learn(doc, now, true)
-	list := s.all()
+	s.merge(doc, now, true)
+	list := s.fullList()
 	list.Kind = lg.CachedList
-	s.given = false
+	s.fullReturned = false
 	return list, nil
 }
 
-// ApplyLate takes a document in that answers a call which was given up, and tells whether it is of use: only
-// what is newer than what is known by then.
+// ApplyLate applies a document that answers a call after its timeout, and reports whether it did: only a
+// document newer than the current version is applied.
 func (s *Store) ApplyLate(doc Document, now time.Duration) (lg.List, bool) {
-	if s.fits(doc) != nil || !s.changes || doc.version <= s.version {
+	if s.validate(doc) != nil || !s.incremental || doc.version <= s.version {
 		return lg.List{}, false
 	}
-	return s.learn(doc, now, false), true
+	return s.merge(doc, now, false), true
 }
 
-// fits tells what is wrong with a document beside what is known.
-func (s *Store) fits(doc Document) error {
+// validate checks a document against the current list.
+func (s *Store) validate(doc Document) error {
 	switch {
-	case !doc.whole && s.changes && doc.version < s.version:
-		return fmt.Errorf("changes up to %d, but %d is known", doc.version, s.version)
-	case doc.whole && len(doc.instances) == 0 && len(s.told) > 0:
-		// Guards against a discovery that has lost its memory: it would end all service.
-		return errors.New("a whole list without instances")
+	case !doc.full && s.incremental && doc.version < s.version:
+		return fmt.Errorf("changes up to version %d, but version %d is known", doc.version, s.version)
+	case doc.full && len(doc.instances) == 0 && len(s.records) > 0:
+		// A discovery that has lost its data would otherwise end all service.
+		return errors.New("a full list without instances")
 	}
 	return nil
 }
 
-// learn makes a document the one in force. What it returns has the servers' start times, and servers that it
-// does not name where it showed that they started later than was thought.
-func (s *Store) learn(doc Document, now time.Duration, cached bool) lg.List {
-	s.starts.learn(doc.instances, now, cached)
-	younger := s.starts.correct(now)
-	s.round++
-	s.changed = s.changed[:0]
+// merge applies a valid document. The changes it returns include the servers that the document does not name
+// but whose start times it showed to be later than assumed.
+func (s *Store) merge(doc Document, now time.Duration, cached bool) lg.List {
+	s.startTimes.observe(doc.instances, now, cached)
+	corrected := s.startTimes.correct(now)
+	s.documents++
+	s.lastChanges = s.lastChanges[:0]
 	list := lg.List{Kind: lg.Changes}
 	for _, in := range doc.instances {
-		s.take(&list, in)
+		s.applyInstance(&list, in)
 	}
-	if doc.whole {
-		s.dropUnnamed(&list, doc)
+	if doc.full {
+		s.removeUnnamed(&list, doc)
 	}
-	slices.SortFunc(s.changed, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
-	s.version, s.changes = doc.version, len(s.told) > 0
-	s.starts.prune(s.told)
-	if doc.whole && !s.given {
-		s.given = true
-		return s.all()
+	slices.SortFunc(s.lastChanges, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
+	s.version, s.incremental = doc.version, len(s.records) > 0
+	s.startTimes.prune(s.records)
+	if doc.full && !s.fullReturned {
+		s.fullReturned = true
+		return s.fullList()
 	}
-	s.addYounger(&list, younger)
+	s.addCorrected(&list, corrected)
 	return list
 }
 
-// take makes a line of a document the one in force, and notes what it changed.
-func (s *Store) take(list *lg.List, in instance) {
-	before, known := s.told[in.key]
+// applyInstance applies one instance of a document, and records what it changed.
+func (s *Store) applyInstance(list *lg.List, in instance) {
+	before, known := s.records[in.key]
 	gone := states[in.State] == lg.Gone
-	if known && before.in == in {
-		before.round = s.round
-		s.told[in.key] = before
+	if known && before.instance == in {
+		before.document = s.documents
+		s.records[in.key] = before
 		return
 	}
 	switch {
 	case !known && gone:
 		return
-	case !known || gone || before.in.State != in.State:
-		s.changed = append(s.changed, Change{Name: in.ID, State: states[in.State]})
-	case before.in.Started != in.Started:
-		s.changed = append(s.changed, Change{Name: in.ID, State: states[in.State], Restarted: true})
+	case !known || gone || before.instance.State != in.State:
+		s.lastChanges = append(s.lastChanges, Change{Name: in.ID, State: states[in.State]})
+	case before.instance.Started != in.Started:
+		s.lastChanges = append(s.lastChanges, Change{Name: in.ID, State: states[in.State], Restarted: true})
 	}
-	list.Servers = append(list.Servers, s.server(in))
+	list.Servers = append(list.Servers, s.toServer(in))
 	if gone {
-		delete(s.told, in.key)
+		delete(s.records, in.key)
 	} else {
-		s.told[in.key] = listed{in, s.round}
+		s.records[in.key] = record{in, s.documents}
 	}
 }
 
-// dropUnnamed drops the servers that a whole list does not name.
-func (s *Store) dropUnnamed(list *lg.List, doc Document) {
+// removeUnnamed removes the servers that a full list does not name.
+func (s *Store) removeUnnamed(list *lg.List, doc Document) {
 	named := 0
 	for _, in := range doc.instances {
 		if states[in.State] != lg.Gone {
 			named++
 		}
 	}
-	if named == len(s.told) {
-		return // it names each of them, and none twice
+	if named == len(s.records) {
+		return // the list names all of them, and none twice
 	}
-	for id, one := range s.told {
-		if one.round == s.round {
+	for id, record := range s.records {
+		if record.document == s.documents {
 			continue
 		}
-		delete(s.told, id)
-		s.changed = append(s.changed, Change{Name: one.in.ID, State: lg.Gone})
+		delete(s.records, id)
+		s.lastChanges = append(s.lastChanges, Change{Name: record.instance.ID, State: lg.Gone})
 		list.Servers = append(list.Servers, lg.Server{ID: id, State: lg.Gone})
 	}
 	slices.SortFunc(list.Servers, func(a, b lg.Server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// addYounger adds servers that a list does not name and that started later than was thought.
-func (s *Store) addYounger(list *lg.List, younger []lg.ServerID) {
-	if len(younger) == 0 {
+// addCorrected adds the servers whose start times were corrected and that the list does not name.
+func (s *Store) addCorrected(list *lg.List, corrected []lg.ServerID) {
+	if len(corrected) == 0 {
 		return
 	}
 	named := make(map[lg.ServerID]bool, len(list.Servers))
-	for _, l := range list.Servers {
-		named[l.ID] = true
+	for _, server := range list.Servers {
+		named[server.ID] = true
 	}
-	for _, id := range younger {
-		if one, ok := s.told[id]; ok && !named[id] {
-			list.Servers = append(list.Servers, s.server(one.in))
+	for _, id := range corrected {
+		if record, ok := s.records[id]; ok && !named[id] {
+			list.Servers = append(list.Servers, s.toServer(record.instance))
 		}
 	}
 }
 
-// all is the whole list as it is known, by id.
-func (s *Store) all() lg.List {
-	list := lg.List{Kind: lg.FullList, Servers: make([]lg.Server, 0, len(s.told))}
-	for _, one := range s.told {
-		list.Servers = append(list.Servers, s.server(one.in))
+// fullList is the current list, sorted by ID.
+func (s *Store) fullList() lg.List {
+	list := lg.List{Kind: lg.FullList, Servers: make([]lg.Server, 0, len(s.records))}
+	for _, record := range s.records {
+		list.Servers = append(list.Servers, s.toServer(record.instance))
 	}
 	slices.SortFunc(list.Servers, func(a, b lg.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// server is an instance as the decision module knows it.
-func (s *Store) server(in instance) lg.Server {
+// toServer converts an instance for the decision module.
+func (s *Store) toServer(in instance) lg.Server {
 	return lg.Server{ID: in.key, Zone: slices.Index(s.zones, in.Zone), Kind: slices.Index(s.kinds, in.Kind),
-		Cell: in.Cell, State: states[in.State], Weight: in.Weight, Started: s.starts.moment(in)}
+		Cell: in.Cell, State: states[in.State], Weight: in.Weight, Started: s.startTimes.startedAt(in)}
 }
 
-// Listed is an instance as discovery told it last.
+// Listed is an instance as last received from discovery.
 type Listed struct {
 	Name, Zone, Kind string
 	State            lg.State
@@ -233,41 +233,41 @@
 	Started          float64 // Unix time in milliseconds; 0: long ago
 }
 
-// Instances lists the server list by name.
+// Instances returns the server list, sorted by name.
 func (s *Store) Instances() (all []Listed) {
-	for _, one := range s.told {
-		in := one.in
+	for _, record := range s.records {
+		in := record.instance
 		all = append(all, Listed{in.ID, in.Zone, in.Kind, states[in.State], in.Weight, in.Started})
 	}
 	slices.SortFunc(all, func(a, b Listed) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Encode words the server list as discovery would, for another process of this proxy.
+// Encode encodes the server list as a document of discovery, for another process of this proxy.
 func (s *Store) Encode() []byte {
 	doc := struct {
 		Version   uint64     `json:"generation"`
-		Whole     bool       `json:"reset"`
+		Full      bool       `json:"reset"`
 		Instances []instance `json:"instances"`
 	}{s.version, true, []instance{}}
-	for _, id := range slices.Sorted(maps.Keys(s.told)) {
-		doc.Instances = append(doc.Instances, s.told[id].in)
+	for _, id := range slices.Sorted(maps.Keys(s.records)) {
+		doc.Instances = append(doc.Instances, s.records[id].instance)
 	}
 	raw, err := json.Marshal(doc)
 	if err != nil {
-		return nil // it holds nothing that can't be worded
+		return nil // can't happen: all fields can be encoded
 	}
 	return raw
 }
 
-// CanWatch tells whether the next call may wait for what changes: it does not ask for the whole list.
-func (s *Store) CanWatch() bool { return s.changes }
+// CanWatch reports whether the next call may wait for changes, because it does not ask for the full list.
+func (s *Store) CanWatch() bool { return s.incremental }
 
-// Query is what to ask discovery for next: the whole list, or a watch on what has changed
-// since the version that is known, lasting at most until the given time; one that must not wait asks for the
-// least that is no special case of any list service, a millisecond.
+// Query is the path of the next request to discovery: for the full list, or a watch for changes since the
+// current version, which lasts until the given time at most. A request that must not wait asks for a wait of
+// one millisecond, the shortest that no list service treats as a special case.
 func (s *Store) Query(now, until time.Duration) string {
-	if !s.changes {
+	if !s.incremental {
 		return "/v1/servers"
 	}
 	return "/v1/servers?since=" + strconv.FormatUint(s.version, 10) +
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -12,19 +12,21 @@
 	lg "lilacglade"
 )
 
-// testNow is a moment long after all starts that the tests tell of.
+// testNow is a time on the proxy's clock, long after all start times in the tests.
 const testNow = 365 * 24 * time.Hour
 
+// doc returns a document with entries.
 func doc(version, full, entries string) []byte {
 	return []byte(`{"generation":` + version + `,"reset":` + full + `,"instances":[` + entries + `]}`)
 }
 
+// entry returns one instance of a document.
 func entry(id, addr, state, weight, started string) string {
 	return `{"instanceId":"` + id + `","hostPort":"` + addr + `","zone":"b","machineType":"m2","cell":3,` +
 		`"lifecycle":"` + state + `","weight":` + weight + `,"startedAtMs":` + started + `}`
 }
 
-// apply reads a document and has a Set take it in, as the sockets do.
+// apply decodes a document and applies it to a Store, as the proxy does.
 func apply(s *Store, raw []byte, now time.Duration) (lg.List, error) {
 	doc, err := new(Decoder).Decode(raw)
 	if err != nil {
@@ -42,7 +44,7 @@
 	return s.ApplyLate(doc, now)
 }
 
-func remember(s *Store, raw []byte, now time.Duration) (lg.List, error) {
+func applyCached(s *Store, raw []byte, now time.Duration) (lg.List, error) {
 	doc, err := new(Decoder).Decode(raw)
 	if err != nil {
 		return lg.List{}, err
@@ -52,7 +54,8 @@
 
 var good = entry("s-1", "127.0.0.1:81", "ready", "1.5", "1700000060000")
 
-func newSet(t *testing.T) *Store {
+// newTestStore returns a Store with one server, s-1, at version 41.
+func newTestStore(t *testing.T) *Store {
 	s := New([]string{"a", "b"}, []string{"m1", "m2"}, time.UnixMilli(1700000000000))
 	if _, err := apply(s, doc("41", "true", good), testNow); err != nil {
 		t.Fatal(err)
@@ -60,8 +63,9 @@
 	return s
 }
 
+// TestListsAndChanges checks the changes and the queries after a full list and changes.
 func TestListsAndChanges(t *testing.T) {
-	s := newSet(t)
+	s := newTestStore(t)
 	list, err := apply(s, doc("42", "false",
 		entry("s-1", "127.0.0.1:82", "draining", "1.5", "1700000060000")), testNow)
 	want := lg.Server{ID: ID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: lg.Draining, Weight: 1.5,
@@ -70,7 +74,7 @@
 		t.Errorf("got %+v, %v; want %+v", list, err, want)
 	}
 	if s.Address(ID("s-1")) != "127.0.0.1:82" {
-		t.Error("the address did not follow")
+		t.Error("the address was not updated")
 	}
 	if q := s.Query(time.Hour, time.Hour+20*time.Second); q != "/v1/servers?since=42&timeout_ms=20000" {
 		t.Errorf("query %s", q)
@@ -81,8 +85,8 @@
 	}
 }
 
-// TestVersionZero guards against asking for whole lists for ever, with no watch open, where discovery counts
-// from zero; and against waiting for news of a list that is empty.
+// TestVersionZero checks that a watch follows a full list of version 0: otherwise a proxy would ask for full
+// lists forever where discovery counts from zero. After an empty list no watch follows.
 func TestVersionZero(t *testing.T) {
 	s := New(nil, nil, time.UnixMilli(1700000000000))
 	for _, tc := range []struct{ entries, want string }{{"", "/v1/servers"},
@@ -93,11 +97,11 @@
 		}
 	}
 	if s.RequestFull(); s.Query(0, time.Second) != "/v1/servers" {
-		t.Error("another discovery is asked for changes only")
+		t.Error("the next query does not ask for the full list")
 	}
 }
 
-// TestIndentedList covers a list with white space wherever it may stand.
+// TestIndentedList checks a list with white space wherever JSON allows it.
 func TestIndentedList(t *testing.T) {
 	var b bytes.Buffer
 	if err := json.Indent(&b, doc("5", "true", good), "\t", "  "); err != nil {
@@ -110,12 +114,12 @@
 	}
 }
 
-// TestLateDocument covers a document that answers a call which was given up: only what is newer counts, and
-// it changes nothing else.
+// TestLateDocument checks that a document that answers a call after its timeout is applied only if it
+// is newer, and has no other effect.
 func TestLateDocument(t *testing.T) {
 	s := New(nil, nil, time.UnixMilli(1700000000000))
 	if _, ok := applyLate(s, doc("5", "true", good), testNow); ok {
-		t.Error("taken before the first list of this discovery")
+		t.Error("applied before the first list of this discovery")
 	}
 	if _, err := apply(s, doc("5", "true", good), testNow); err != nil {
 		t.Fatal(err)
@@ -128,13 +132,14 @@
 		{doc("6", "false", ""), true, "6"}} {
 		if _, ok := applyLate(s, tc.raw, testNow); ok != tc.ok ||
 			s.Query(0, time.Second) != "/v1/servers?since="+tc.next+"&timeout_ms=1000" {
-			t.Errorf("%s: taken %t, query %s", tc.raw, ok, s.Query(0, time.Second))
+			t.Errorf("%s: applied %t, query %s", tc.raw, ok, s.Query(0, time.Second))
 		}
 	}
 }
 
-// TestNonsenseKeepsTheLastGoodSet covers what discovery may send that makes no sense.
-func TestNonsenseKeepsTheLastGoodSet(t *testing.T) {
+// TestInvalidDocumentKeepsTheList checks that an invalid document does not change the list, and that the next
+// query asks for the full list.
+func TestInvalidDocumentKeepsTheList(t *testing.T) {
 	tests := map[string][]byte{
 		"unexpected end":    []byte(`{"generation":42`),
 		"no generation":     []byte(`{"instances":[]}`),
@@ -147,17 +152,17 @@
 		"empty or repeated": doc("42", "true", good+","+good),
 	}
 	for want, raw := range tests {
-		s := newSet(t)
+		s := newTestStore(t)
 		if _, err := apply(s, raw, testNow); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v", want, err)
 		}
 		if s.Address(ID("s-1")) != "127.0.0.1:81" || s.Query(0, 0) != "/v1/servers" {
-			t.Errorf("%s: the set changed, or the whole list is not wanted next", want)
+			t.Errorf("%s: the list changed, or the next query does not ask for the full list", want)
 		}
 	}
 }
 
-// TestChanges holds what operators are told of each document.
+// TestChanges checks what is reported as changed by each document.
 func TestChanges(t *testing.T) {
 	s := New(nil, nil, time.Unix(0, 0))
 	entry := func(id, state string, started int) string {
@@ -165,7 +170,7 @@
 			started)
 	}
 	for i, step := range []struct {
-		reset   bool
+		full    bool
 		entries []string
 		want    string
 	}{
@@ -176,7 +181,7 @@
 		{true, []string{entry("b", "ready", 7)}, "[{a 2 false}]"},
 		{false, []string{entry("b", "gone", 7)}, "[{b 2 false}]"},
 	} {
-		raw := fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, i, step.reset,
+		raw := fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, i, step.full,
 			strings.Join(step.entries, ","))
 		if _, err := apply(s, []byte(raw), testNow); err != nil {
 			t.Fatal(err)
