--- a/internal/coordination/bootstrap.go
+++ b/internal/coordination/bootstrap.go
@@ -15,7 +15,7 @@
 
 // founding begins the log, once all founders are there and none knows of one. Guards against a second log:
 // a founder that has lost its disk hears from the others that there is one, and is taken in anew.
-func (c *Council) founding() {
+func (c *Coordinator) founding() {
 	if c.now < c.helloAt {
 		return
 	}
@@ -23,19 +23,19 @@
 	if c.held && c.core != nil {
 		c.mayVote()
 	}
-	if !c.blankNow() || !slices.Contains(c.cfg.Founders, c.cfg.Name) {
+	if !c.blankNow() || !slices.Contains(c.cfg.InitialVoters, c.cfg.Name) {
 		return
 	}
 	all := true
-	for _, f := range c.cfg.Founders {
+	for _, f := range c.cfg.InitialVoters {
 		if f == c.cfg.Name {
 			continue
 		}
-		c.send(f, "", &Envelope{Hello: &Hello{Blank: true, Want: true}})
+		c.send(f, "", &Envelope{Hello: &Hello{Blank: true, WantReply: true}})
 		at, ok := c.blank[f]
 		all = all && ok && c.now-at < helloFresh
 	}
-	if !all || c.cfg.Founders[0] != c.cfg.Name {
+	if !all || c.cfg.InitialVoters[0] != c.cfg.Name {
 		return
 	}
 	c.adopt(c.rng.Uint64() | 1)
@@ -49,30 +49,30 @@
 }
 
 // blankNow tells whether this proxy has never been part of a log.
-func (c *Council) blankNow() bool {
+func (c *Coordinator) blankNow() bool {
 	return c.core != nil && c.cluster == 0 && c.core.Applied() == 0 && len(c.core.Voters()) == 0
 }
 
-func (c *Council) hello(e *Envelope) {
+func (c *Coordinator) hello(e *Envelope) {
 	h := e.Hello
 	if h.Blank && e.Cluster == 0 {
 		c.blank[e.From] = c.now
 	} else {
 		delete(c.blank, e.From)
 	}
-	if h.For != 0 && h.For == c.cfg.ID && !c.sameStart(e) {
+	if h.ForID != 0 && h.ForID == c.cfg.ID && !c.sameStart(e) {
 		return
 	}
-	if h.Want {
+	if h.WantReply {
 		c.answerHello(e)
 	}
 }
 
 // sameStart takes what a peer knows of this identity, and retires it if it has forgotten any of that.
-func (c *Council) sameStart(e *Envelope) bool {
+func (c *Coordinator) sameStart(e *Envelope) bool {
 	h := e.Hello
-	if h.Seen > c.cfg.Boot && c.cfg.Without != BootCompare {
-		c.retire(fmt.Sprintf("the disk is older than what %s knows of it (start %d, not %d)", e.From, h.Seen,
+	if h.LatestBoot > c.cfg.Boot && c.cfg.Disabled != CompareBoots {
+		c.retire(fmt.Sprintf("the disk is older than what %s knows of it (start %d, not %d)", e.From, h.LatestBoot,
 			c.cfg.Boot))
 		return false
 	}
@@ -81,22 +81,22 @@
 			last))
 		return false
 	}
-	if h.Leads == "" || h.Leads == e.From { // else the leader's own answer counts
+	if h.Leader == "" || h.Leader == e.From { // else the leader's own answer counts
 		c.agreed[e.From] = true
 	}
 	return true
 }
 
 // answerHello tells a peer what is known of its identity.
-func (c *Council) answerHello(e *Envelope) {
-	seen := c.table.Boot(e.ID)
+func (c *Coordinator) answerHello(e *Envelope) {
+	seen := c.table.LatestBoot(e.ID)
 	if b := c.rep.Work.Boots[e.From]; b.ID == e.ID {
 		seen = max(seen, b.Boot)
 	}
-	a := &Hello{Blank: c.blankNow(), Seen: seen, For: e.ID}
+	a := &Hello{Blank: c.blankNow(), LatestBoot: seen, ForID: e.ID}
 	if c.core != nil && !c.held {
 		if leader, ok := c.leader(); ok {
-			a.Leads = leader.Name
+			a.Leader = leader.Name
 		}
 		a.Match = c.core.Match(e.ID)
 	}
@@ -105,7 +105,7 @@
 
 // mayVote lets a voter that has started vote again, once enough others know no later start of it. Guards
 // against an older copy of its disk: it would have forgotten votes that it gave.
-func (c *Council) mayVote() {
+func (c *Coordinator) mayVote() {
 	voters := c.core.Voters()
 	others := 0
 	for _, id := range voters {
@@ -114,7 +114,7 @@
 			continue
 		}
 		others++
-		c.send(v.Name, v.Addr, &Envelope{Hello: &Hello{Want: true}})
+		c.send(v.Name, v.Addr, &Envelope{Hello: &Hello{WantReply: true}})
 	}
 	if len(c.agreed) >= min(others, len(voters)/2) {
 		c.held = false
--- a/internal/coordination/calls.go
+++ b/internal/coordination/calls.go
@@ -36,7 +36,7 @@
 	maintenance.Forget: true, maintenance.Fail: true}
 
 // ask takes an operators' call.
-func (c *Council) ask(ev Asked) {
+func (c *Coordinator) ask(ev CallReceived) {
 	if ev.Call.ID == "" {
 		c.do(Reply{ev.Token, Answer{Err: "id: not set"}})
 		return
@@ -54,7 +54,7 @@
 }
 
 // pass passes an operators' call on to the leader.
-func (c *Council) pass(p *pending) {
+func (c *Coordinator) pass(p *pending) {
 	p.sentAt = c.now
 	to, addr := c.leaderOr(c.party.turn)
 	call := p.call
@@ -62,7 +62,7 @@
 }
 
 // passAgain passes calls on again that nobody has answered, and gives up those whose time is over.
-func (c *Council) passAgain() {
+func (c *Coordinator) passAgain() {
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
 		p := c.calls[id]
 		if c.now >= p.until {
@@ -76,7 +76,7 @@
 }
 
 // answered takes what became of a call that was passed on.
-func (c *Council) answered(a *Answer) {
+func (c *Coordinator) answered(a *Answer) {
 	p := c.calls[a.ID]
 	if p == nil {
 		return
@@ -93,7 +93,7 @@
 }
 
 // called takes an operators' call at the leader.
-func (c *Council) called(e *Envelope) {
+func (c *Coordinator) called(e *Envelope) {
 	a := &asked{from: e.From, call: *e.Call}
 	if !c.leads() {
 		leader, _ := c.leader()
@@ -123,7 +123,7 @@
 }
 
 // toPropose has a call's entry proposed, if there is one that operators may ask for.
-func (c *Council) toPropose(a *asked) {
+func (c *Coordinator) toPropose(a *asked) {
 	switch {
 	case a.call.Spec != nil:
 		o, err := a.call.Spec.Resolve(c.view())
@@ -141,7 +141,7 @@
 }
 
 // callDone answers a call whose entry was agreed on.
-func (c *Council) callDone(id string, err error) {
+func (c *Coordinator) callDone(id string, err error) {
 	a := Answer{ID: id, Done: err == nil}
 	if err != nil {
 		a.Err = err.Error()
@@ -155,16 +155,16 @@
 }
 
 // replyStatus answers a call for status with how things stand now.
-func (c *Council) replyStatus(to *asked) {
+func (c *Coordinator) replyStatus(to *asked) {
 	a := Answer{ID: to.call.ID, Done: true, Status: c.Status()}
-	if to.call.Whole {
+	if to.call.FullState {
 		a.State = maintenance.Encode(c.rep.Work)
 	}
 	c.reply(to, a)
 }
 
 // reply sends an answer to the proxy that passed the call on.
-func (c *Council) reply(to *asked, a Answer) {
+func (c *Coordinator) reply(to *asked, a Answer) {
 	addr := ""
 	if m := c.table.Get(to.from); m != nil {
 		addr = m.Addr
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -19,13 +19,13 @@
 
 // Config is what a Council knows from its start on.
 type Config struct {
-	Name     string
-	Inc      uint64 // this process; never used twice
-	Addr     string // where it listens to its peers
-	Founders []string
-	Peers    []string      // all that the configuration names, without this one
-	Grace    time.Duration // the longest that a request may take
-	Seed     uint64
+	Name          string
+	Incarnation   uint64 // this process; never used twice
+	Addr          string // where it listens to its peers
+	InitialVoters []string
+	Peers         []string      // all that the configuration names, without this one
+	Grace         time.Duration // the longest that a request may take
+	Seed          uint64
 	// ReplaceAfter: a voter that is not heard for so long loses its vote to another proxy
 	ReplaceAfter time.Duration
 	WarmAfter    time.Duration // a machine that came back is done then
@@ -33,31 +33,31 @@
 	// what this program understands; 0: maintenance.LevelNow. For plays of two versions
 	Level uint64
 
-	Without Guard // taken out; for plays that show what it guards against
+	Disabled SafetyCheck // taken out; for plays that show what it guards against
 
 	ID, Boot uint64 // of the disk
 	Saved    consensus.Saved
 	Note     []byte
 }
 
-// Guard is one that a play can take out.
-type Guard uint8
+// SafetyCheck is one that a play can take out.
+type SafetyCheck uint8
 
 // The guards.
 const (
-	None        Guard = iota
-	Confirm           // a leader answers renewals without asking a majority
-	LeadWait          // a new leader takes it that nobody has a lease of the one before
-	LeaseWait         // a lease counts as over once it is not renewed in time
-	GraceWait         // and what was open then as over, too
-	SentCount         // a lease counts from when it came, not from when it was asked for
-	BootCompare       // an older disk votes
-	FromTold          // a party that goes on by its disk's knowledge doesn't say so
-	LevelWait         // what older programs don't understand is proposed all the same
+	None              SafetyCheck = iota
+	ConfirmLeadership             // a leader answers renewals without asking a majority
+	LeadWait                      // a new leader takes it that nobody has a lease of the one before
+	LeaseWait                     // a lease counts as over once it is not renewed in time
+	GraceWait                     // and what was open then as over, too
+	LeaseFromSendTime             // a lease counts from when it came, not from when it was asked for
+	CompareBoots                  // an older disk votes
+	ReportResumeIndex             // a party that goes on by its disk's knowledge doesn't say so
+	LevelWait                     // what older programs don't understand is proposed all the same
 )
 
-// Council is the state. New makes one; one goroutine owns it.
-type Council struct {
+// Coordinator is the state. New makes one; one goroutine owns it.
+type Coordinator struct {
 	cfg     Config
 	rng     *rand.Rand
 	now     time.Duration
@@ -71,7 +71,7 @@
 	blank   map[string]time.Duration
 	helloAt time.Duration
 	agreed  map[string]bool // peers that know no later start of this identity
-	resume  *Note           // what an earlier process here has said that it knows; nil: nothing is known of it
+	resume  *DurableRecord  // what an earlier process here has said that it knows; nil: nothing is known of it
 	from    uint64          // index of it, for good
 	kept    bool            // the disk has, or is about to have, what there is to keep
 
@@ -81,12 +81,12 @@
 	seen   map[string]maintenance.Seen // the machines as discovery lists them
 	seenAt time.Duration
 
-	Foreign uint64 // messages that were not understood, or not for this one
+	RejectedMessages uint64 // messages that were not understood, or not for this one
 }
 
 // New returns a Council.
-func New(cfg Config) (*Council, error) {
-	c := &Council{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Inc)),
+func New(cfg Config) (*Coordinator, error) {
+	c := &Coordinator{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)),
 		table: membership.New(cfg.ReplaceAfter), blank: map[string]time.Duration{},
 		calls: map[string]*pending{}, agreed: map[string]bool{}}
 	c.party = party{sentAt: map[uint64]time.Duration{}, every: joinEvery}
@@ -94,7 +94,7 @@
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
 		return c, err
 	}
-	var n Note
+	var n DurableRecord
 	if len(cfg.Note) > 0 && maintenance.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
 		c.cfg.Level >= maintenance.LevelResume {
 		c.resume, c.from = &n, n.Index
@@ -103,7 +103,7 @@
 }
 
 // Step takes one event at the given time. The slice is used again by the next call.
-func (c *Council) Step(now time.Duration, ev Event) []Effect {
+func (c *Coordinator) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(c.now, now)
 	c.out = c.out[:0]
 	c.take(ev)
@@ -112,17 +112,17 @@
 	return c.out
 }
 
-func (c *Council) do(e Effect) { c.out = append(c.out, e) }
+func (c *Coordinator) do(e Effect) { c.out = append(c.out, e) }
 
-func (c *Council) take(ev Event) {
+func (c *Coordinator) take(ev Event) {
 	switch ev := ev.(type) {
 	case Tick:
 		c.tick()
-	case Received:
+	case MessageReceived:
 		c.received(ev.Raw)
-	case Asked:
+	case CallReceived:
 		c.ask(ev)
-	case Stopped:
+	case RestrictionsApplied:
 		c.stopped(ev)
 	case Inventory:
 		c.listed(ev.Machines)
@@ -132,13 +132,13 @@
 		c.leave()
 	case DiskLost:
 		c.diskLost()
-	case DiskBack:
+	case DiskRestored:
 		c.diskBack(ev)
 	}
 }
 
 // tick does what is due by time.
-func (c *Council) tick() {
+func (c *Coordinator) tick() {
 	if c.party.began == 0 {
 		c.party.began = max(1, c.now)
 	}
@@ -154,11 +154,11 @@
 	c.passAgain()
 }
 
-// Work is the state that this proxy holds of the log; it lags behind the leader's. Nobody changes it.
-func (c *Council) Work() *maintenance.State { return c.rep.Work }
+// Maintenance is the state that this proxy holds of the log; it lags behind the leader's. Nobody changes it.
+func (c *Coordinator) Maintenance() *maintenance.State { return c.rep.Work }
 
-// Leads tells whether this proxy leads, as far as it knows.
-func (c *Council) Leads() bool { return c.leads() }
+// IsLeader tells whether this proxy leads, as far as it knows.
+func (c *Coordinator) IsLeader() bool { return c.leads() }
 
 // Table is whom this proxy has heard.
-func (c *Council) Table() *membership.Table { return c.table }
+func (c *Coordinator) Table() *membership.Table { return c.table }
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -15,10 +15,10 @@
 type table struct {
 	t       *testing.T
 	now     time.Duration
-	all     map[string]*Council
+	all     map[string]*Coordinator
 	cut     func(from, to string) bool
 	slow    map[string][][]byte // to whom nothing is delivered for now
-	facts   map[string]Facts
+	facts   map[string]Restrictions
 	replies []Answer
 	keep    bool // the reducers keep to what they are told at once
 	notes   map[string][]byte
@@ -26,18 +26,18 @@
 	cfg     map[string]Config
 }
 
-func newTable(t *testing.T, n int, without Guard, levels ...uint64) *table {
-	b := &table{t: t, all: map[string]*Council{}, cut: func(_, _ string) bool { return false },
-		facts: map[string]Facts{}, slow: map[string][][]byte{}, keep: true, notes: map[string][]byte{},
+func newTable(t *testing.T, n int, without SafetyCheck, levels ...uint64) *table {
+	b := &table{t: t, all: map[string]*Coordinator{}, cut: func(_, _ string) bool { return false },
+		facts: map[string]Restrictions{}, slow: map[string][][]byte{}, keep: true, notes: map[string][]byte{},
 		logs: map[string]string{}, cfg: map[string]Config{}}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("p", i))
 	}
 	for i, name := range names {
-		b.cfg[name] = Config{Name: name, Inc: uint64(i + 1), Addr: name, Founders: names[:3], Peers: names,
-			ID: uint64(i + 1), Boot: 1, Grace: time.Second, Seed: uint64(i), ReplaceAfter: time.Minute,
-			Without: without}
+		b.cfg[name] = Config{Name: name, Incarnation: uint64(i + 1), Addr: name, InitialVoters: names[:3],
+			Peers: names, ID: uint64(i + 1), Boot: 1, Grace: time.Second, Seed: uint64(i), ReplaceAfter: time.Minute,
+			Disabled: without}
 		if i < len(levels) {
 			b.set(name, func(c *Config) { c.Level = levels[i] })
 		}
@@ -58,7 +58,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.all[name], b.facts[name] = c, Facts{}
+	b.all[name], b.facts[name] = c, Restrictions{}
 }
 
 func (b *table) step(name string, ev Event) {
@@ -72,14 +72,14 @@
 				b.slow[e.To] = append(held, e.Raw)
 				continue
 			}
-			b.step(e.To, Received{e.Raw})
-		case Facts:
+			b.step(e.To, MessageReceived{e.Raw})
+		case Restrictions:
 			if b.facts[name] = e; b.keep {
-				b.step(name, Stopped{Index: e.Index, Clear: e.Marked})
+				b.step(name, RestrictionsApplied{Index: e.Index, Clear: e.Marked})
 			}
 		case Reply:
 			b.replies = append(b.replies, e.Answer)
-		case Keep:
+		case PersistRecord:
 			b.notes[name] = e.Note
 		case Log:
 			b.logs[name] += e.Text + "\n"
@@ -103,10 +103,10 @@
 		b.pass(TickEvery)
 		leased := 0
 		for name, c := range b.all {
-			if b.facts[name].Until > b.now {
+			if b.facts[name].LeaseUntil > b.now {
 				leased++
 			}
-			if c.Leads() {
+			if c.IsLeader() {
 				leader = name
 			}
 		}
@@ -124,34 +124,35 @@
 		b.step(name, Inventory{[]maintenance.Seen{{Machine: maintenance.Machine{ID: "m0"}, Ready: true},
 			{Machine: maintenance.Machine{ID: "m1"}, Ready: true}}})
 	}
-	b.step("p0", Asked{1, Call{ID: "c", Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
+	b.step("p0", CallReceived{1, Call{ID: "c",
+		Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
 }
 
 // TestLeaseCountsFromItsCall guards against a lease that counts from when its answer came: the leader takes
 // it to be over before.
 func TestLeaseCountsFromItsCall(t *testing.T) {
-	for _, without := range []Guard{None, SentCount} {
+	for _, without := range []SafetyCheck{None, LeaseFromSendTime} {
 		b := newTable(t, 4, without)
 		b.ready()
 		b.pass(2 * time.Second)
-		until := b.facts["p3"].Until
+		until := b.facts["p3"].LeaseUntil
 		b.slow["p3"] = [][]byte{}
 		b.pass(2500 * time.Millisecond)
 		late := b.slow["p3"]
 		delete(b.slow, "p3")
 		for _, raw := range late[:1] {
-			b.step("p3", Received{raw})
+			b.step("p3", MessageReceived{raw})
 		}
-		if good := b.facts["p3"].Until <= until+renewEvery+TickEvery; good != (without == None) {
+		if good := b.facts["p3"].LeaseUntil <= until+renewEvery+TickEvery; good != (without == None) {
 			t.Errorf("without guard %d: an answer that came late makes the lease end at %v, before %v", without,
-				b.facts["p3"].Until, until)
+				b.facts["p3"].LeaseUntil, until)
 		}
 	}
 }
 
 // TestOldLeaderGivesNoLease guards against a leader that was replaced and does not know it.
 func TestOldLeaderGivesNoLease(t *testing.T) {
-	for _, without := range []Guard{None, Confirm} {
+	for _, without := range []SafetyCheck{None, ConfirmLeadership} {
 		b := newTable(t, 4, without)
 		leader := b.ready()
 		b.cut = func(from, to string) bool { // the leader and p3 hear each other and nobody else
@@ -162,8 +163,8 @@
 		b.pass(900 * time.Millisecond) // it still takes itself for the leader
 		b.all["p3"].party.renewAt, b.all["p3"].party.hint = 0, leader
 		b.pass(200 * time.Millisecond)
-		if good := b.facts["p3"].Until <= cutAt+leaseParts*renewEvery; good != (without == None) {
-			t.Errorf("without guard %d: a lease until %v after the cut", without, b.facts["p3"].Until-cutAt)
+		if good := b.facts["p3"].LeaseUntil <= cutAt+leaseParts*renewEvery; good != (without == None) {
+			t.Errorf("without guard %d: a lease until %v after the cut", without, b.facts["p3"].LeaseUntil-cutAt)
 		}
 	}
 }
@@ -175,15 +176,15 @@
 	b.keep = false
 	b.order(1)
 	b.pass(3 * time.Second)
-	w := b.all[leader].Work().Active("m0")
+	w := b.all[leader].Maintenance().Active("m0")
 	if w == nil || w.Named == 0 || w.Step != maintenance.Waiting {
 		t.Fatalf("m0 is %+v while no reducer keeps to it", w)
 	}
 	for name, f := range b.facts {
-		b.step(name, Stopped{Index: f.Index})
+		b.step(name, RestrictionsApplied{Index: f.Index})
 	}
 	b.pass(2 * time.Second)
-	if w := b.all[leader].Work().Active("m0"); w.Step == maintenance.Waiting {
+	if w := b.all[leader].Maintenance().Active("m0"); w.Step == maintenance.Waiting {
 		t.Error("never granted")
 	}
 }
@@ -193,7 +194,7 @@
 	b := newTable(t, 3, None)
 	b.ready()
 	c := b.all["p1"]
-	good := Envelope{Version: 1, From: "p0", Inc: 1, ID: 1, Boot: 1, To: "p1", Cluster: c.cluster,
+	good := Envelope{Version: 1, From: "p0", Incarnation: 1, ID: 1, Boot: 1, To: "p1", Cluster: c.cluster,
 		Lease: &Lease{Index: 1 << 40, Marked: []maintenance.Mark{{Machine: "m9", Grant: 1}}}}
 	bad := [][]byte{nil, []byte("GET / HTTP/1.1\r\n\r\n"), make([]byte, 3000),
 		[]byte(strings.Repeat("\xff", 99))}
@@ -201,7 +202,7 @@
 		func(e *Envelope) { e.To = "p2" },
 		func(e *Envelope) { e.Cluster++ },
 		func(e *Envelope) { e.Version = 0 },
-		func(e *Envelope) { e.From, e.Inc = "p1", 77 },
+		func(e *Envelope) { e.From, e.Incarnation = "p1", 77 },
 		func(e *Envelope) { e.Lease = nil },
 		func(e *Envelope) { e.Lease, e.Raft = nil, []byte{1, 2, 3} },
 	} {
@@ -210,10 +211,10 @@
 		bad = append(bad, maintenance.Encode(e))
 	}
 	for i, raw := range bad {
-		before, facts := c.Foreign, b.facts["p1"]
-		b.step("p1", Received{raw})
-		if c.Foreign != before+1 || b.facts["p1"].Index != facts.Index {
-			t.Errorf("message %d: counted %d, index %d", i, c.Foreign-before, b.facts["p1"].Index)
+		before, facts := c.RejectedMessages, b.facts["p1"]
+		b.step("p1", MessageReceived{raw})
+		if c.RejectedMessages != before+1 || b.facts["p1"].Index != facts.Index {
+			t.Errorf("message %d: counted %d, index %d", i, c.RejectedMessages-before, b.facts["p1"].Index)
 		}
 	}
 }
@@ -223,17 +224,17 @@
 	b := newTable(t, 3, None)
 	leader := b.ready()
 	b.step(leader, DiskLost{})
-	if b.all[leader].Leads() {
+	if b.all[leader].IsLeader() {
 		t.Error("leads without a disk")
 	}
 	b.pass(8 * time.Second)
-	if b.facts[leader].Until <= b.now {
+	if b.facts[leader].LeaseUntil <= b.now {
 		t.Error("no lease while the others have a majority")
 	}
-	b.step(leader, DiskBack{ID: 99, Boot: 1, Saved: consensus.Saved{}})
+	b.step(leader, DiskRestored{ID: 99, Boot: 1, Saved: consensus.Saved{}})
 	b.pass(8 * time.Second)
 	for _, c := range b.all {
-		if c.Leads() && !slices.Contains(c.core.Voters(), 99) {
+		if c.IsLeader() && !slices.Contains(c.core.Voters(), 99) {
 			t.Errorf("voters %v: not taken in under its new identity", c.core.Voters())
 		}
 	}
@@ -242,30 +243,30 @@
 // TestGoesOnByItsDisk covers a proxy that starts again and is heard by the others, but hears nothing: it goes
 // on by what its disk knows, and what it doesn't hold is not granted until it has said that it knows of it.
 func TestGoesOnByItsDisk(t *testing.T) {
-	for _, without := range []Guard{None, FromTold} {
+	for _, without := range []SafetyCheck{None, ReportResumeIndex} {
 		b := newTable(t, 4, without)
 		leader := b.ready()
 		b.pass(3 * time.Second)
-		b.set("p3", func(c *Config) { c.Inc, c.Boot, c.Note = 99, 2, b.notes["p3"] })
+		b.set("p3", func(c *Config) { c.Incarnation, c.Boot, c.Note = 99, 2, b.notes["p3"] })
 		b.cut = func(from, to string) bool { return from == "p3" || to == "p3" }
 		b.order(1) // named while p3 is away
 		b.pass(time.Second)
 		b.start("p3")
 		b.cut = func(_, to string) bool { return to == "p3" }
 		b.pass(3 * time.Second)
-		taken := b.all[leader].Work().Parties[maintenance.Key("p3", 99)]
-		if f := b.facts["p3"]; f.Until != 1 || f.Index == 0 || taken == nil {
+		taken := b.all[leader].Maintenance().Parties[maintenance.Key("p3", 99)]
+		if f := b.facts["p3"]; f.LeaseUntil != 1 || f.Index == 0 || taken == nil {
 			t.Fatalf("without guard %d: goes on by %+v, or was not taken in", without, f)
 		}
 		b.pass(15 * time.Second)
-		w := b.all[leader].Work().Active("m0")
-		if granted := w == nil || w.Step != maintenance.Waiting; granted != (without == FromTold) ||
+		w := b.all[leader].Maintenance().Active("m0")
+		if granted := w == nil || w.Step != maintenance.Waiting; granted != (without == ReportResumeIndex) ||
 			slices.Contains(b.facts["p3"].Named, "m0") {
 			t.Errorf("without guard %d: m0 is %+v, p3 holds %v", without, w, b.facts["p3"].Named)
 		}
 		b.cut = func(_, _ string) bool { return false }
 		b.pass(15 * time.Second)
-		if w := b.all[leader].Work().Active("m0"); w != nil && w.Step == maintenance.Waiting {
+		if w := b.all[leader].Maintenance().Active("m0"); w != nil && w.Step == maintenance.Waiting {
 			t.Errorf("without guard %d: never granted", without)
 		}
 	}
@@ -279,14 +280,14 @@
 	b.pass(3 * time.Second)
 	b.step("p3", Leaving{})
 	b.pass(time.Second)
-	b.set("p3", func(c *Config) { c.Inc, c.Boot, c.Note = 99, 2, b.notes["p3"] })
-	b.set("p4", func(c *Config) { c.Inc, c.ID = 99, 99 })
+	b.set("p3", func(c *Config) { c.Incarnation, c.Boot, c.Note = 99, 2, b.notes["p3"] })
+	b.set("p4", func(c *Config) { c.Incarnation, c.ID = 99, 99 })
 	b.cut = func(from, to string) bool { return from > "p2" || to > "p2" }
 	for _, name := range []string{"p3", "p4"} {
 		b.start(name)
 	}
 	b.pass(10 * time.Second)
-	if b.facts["p3"].Until != 0 || b.facts["p4"].Until != 0 {
+	if b.facts["p3"].LeaseUntil != 0 || b.facts["p4"].LeaseUntil != 0 {
 		t.Errorf("serve by %+v and %+v", b.facts["p3"], b.facts["p4"])
 	}
 }
@@ -294,29 +295,31 @@
 // TestTwoVersions covers an earlier program among later ones: nothing is proposed that it doesn't understand
 // until it is upgraded, and then it can't be gone back to.
 func TestTwoVersions(t *testing.T) {
-	for _, without := range []Guard{None, LevelWait} {
+	for _, without := range []SafetyCheck{None, LevelWait} {
 		b := newTable(t, 4, without, 0, 0, maintenance.LevelFirst)
 		b.pass(10 * time.Second)
-		leased := b.facts["p2"].Until > b.now
-		if said := strings.Count(b.logs["p2"], ErrLater.Error()); leased != (without == None) || said > 1 ||
+		leased := b.facts["p2"].LeaseUntil > b.now
+		if said := strings.Count(b.logs["p2"], ErrProgramTooOld.Error()); leased != (without == None) || said > 1 ||
 			leased != (said == 0) {
 			t.Fatalf("without guard %d: the earlier program has a lease: %t, log: %s", without, leased, b.logs["p2"])
 		}
 		if without != None {
 			continue
 		}
-		b.set("p2", func(c *Config) { c.Inc, c.ID, c.Level = 99, 99, maintenance.LevelNow }) // its disk is new, too
+		// with a new disk
+		b.set("p2", func(c *Config) { c.Incarnation, c.ID, c.Level = 99, 99, maintenance.LevelNow })
 		b.start("p2")
 		b.pass(20 * time.Second)
 		for name, c := range b.all {
-			if name != "p3" && c.Work().Level != maintenance.LevelNow || b.facts[name].Until <= b.now {
-				t.Errorf("%s is at level %d with a lease until %v", name, c.Work().Level, b.facts[name].Until-b.now)
+			if name != "p3" && c.Maintenance().Level != maintenance.LevelNow || b.facts[name].LeaseUntil <= b.now {
+				t.Errorf("%s is at level %d with a lease until %v", name, c.Maintenance().Level,
+					b.facts[name].LeaseUntil-b.now)
 			}
 		}
-		b.set("p3", func(c *Config) { c.Inc, c.Level = 99, maintenance.LevelFirst })
+		b.set("p3", func(c *Config) { c.Incarnation, c.Level = 99, maintenance.LevelFirst })
 		b.start("p3")
 		b.pass(5 * time.Second)
-		if b.facts["p3"].Until != 0 {
+		if b.facts["p3"].LeaseUntil != 0 {
 			t.Error("an earlier program gets a lease of a log that it doesn't understand")
 		}
 	}
@@ -330,9 +333,9 @@
 	b.order(1)
 	for i := range 30 {
 		for name := range b.all {
-			l := Load{Handled: 10, Busy: 2, Rooms: []Room{{"m0", 9}, {"m1", 11}, {"unknown", 5}}}
+			l := Load{Handled: 10, InFlight: 2, Capacities: []Capacity{{"m0", 9}, {"m1", 11}, {"unknown", 5}}}
 			if name == "p4" {
-				l.Rooms, l.Hot, l.Busy = []Room{{"m0", 1e300}, {"m1", 0.1}}, []string{"m1"}, 2
+				l.Capacities, l.Hot, l.InFlight = []Capacity{{"m0", 1e300}, {"m1", 0.1}}, []string{"m1"}, 2
 			}
 			b.step(name, l)
 		}
@@ -364,7 +367,7 @@
 	for b.pass(TickEvery); ; b.pass(TickEvery) {
 		leased := 0
 		for name := range b.all {
-			if name != leader && b.facts[name].Until > lostAt+leaseParts*renewEvery+time.Second {
+			if name != leader && b.facts[name].LeaseUntil > lostAt+leaseParts*renewEvery+time.Second {
 				leased++
 			}
 		}
@@ -387,8 +390,8 @@
 	b.cut = func(from, to string) bool { return from == "p2" || to == "p2" }
 	b.step("p2", Leaving{})
 	b.pass(time.Second)
-	b.step("p2", Received{maintenance.Encode(Envelope{Version: 1, From: leader, Inc: b.all[leader].cfg.Inc,
-		To: "p2", Cluster: c.cluster, Lease: &Lease{Seq: c.party.seq, Retire: true, Leader: leader}})})
+	b.step("p2", MessageReceived{maintenance.Encode(Envelope{Version: 1, From: leader,
+		Incarnation: b.all[leader].cfg.Incarnation, To: "p2", Cluster: c.cluster, Lease: &Lease{Seq: c.party.seq, Retire: true, Leader: leader}})})
 	if c.core == nil || c.cluster == 0 {
 		t.Error("a proxy that leaves gives up its disk")
 	}
--- a/internal/coordination/disk.go
+++ b/internal/coordination/disk.go
@@ -8,11 +8,11 @@
 )
 
 // load begins with what is on the disk.
-func (c *Council) load(saved consensus.Saved, note []byte) error {
+func (c *Coordinator) load(saved consensus.Saved, note []byte) error {
 	c.rep = &replica{Work: maintenance.New(), Voters: map[uint64]Voter{}}
 	c.lead = lead{}
 	if len(note) > 0 {
-		var n Note
+		var n DurableRecord
 		if err := maintenance.Decode(note, &n); err != nil {
 			return err
 		}
@@ -29,12 +29,12 @@
 		}
 	}
 	c.core = core
-	c.held = saved.Hard != nil && c.cfg.Boot > 1 && c.cfg.Without != BootCompare
+	c.held = saved.Hard != nil && c.cfg.Boot > 1 && c.cfg.Disabled != CompareBoots
 	clear(c.agreed)
 	return nil
 }
 
-func (c *Council) install(state []byte) error {
+func (c *Coordinator) install(state []byte) error {
 	rep := &replica{}
 	if err := maintenance.Decode(state, rep); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	}
 	rep.Work.Filled()
 	if rep.Work.Level > c.cfg.Level {
-		return ErrLater
+		return ErrProgramTooOld
 	}
 	if rep.Voters == nil {
 		rep.Voters = map[uint64]Voter{}
@@ -54,19 +54,19 @@
 }
 
 // diskLost gives up the vote, since a write failed.
-func (c *Council) diskLost() {
+func (c *Coordinator) diskLost() {
 	c.core = nil // it votes no more until the disk is back, and goes on as a party
 	c.lead = lead{}
 	c.kept, c.party.toldOnce = false, false // what stood behind the write was not done
 	if c.party.leaving && !c.party.left {   // the disk still knows what it would go on by
 		c.party.left = true
-		c.do(Left{})
+		c.do(LeaveComplete{})
 	}
 	c.do(Log{"the disk can't be written: this proxy gives up its vote until it can"})
 }
 
 // diskBack begins again with what is on a disk that can be written.
-func (c *Council) diskBack(ev DiskBack) {
+func (c *Coordinator) diskBack(ev DiskRestored) {
 	c.cfg.ID, c.cfg.Boot = ev.ID, ev.Boot
 	if err := c.load(ev.Saved, ev.Note); err != nil {
 		c.core = nil
@@ -80,7 +80,7 @@
 }
 
 // adopt makes this proxy part of a log for good.
-func (c *Council) adopt(cluster uint64) {
+func (c *Coordinator) adopt(cluster uint64) {
 	if c.cluster != cluster {
 		c.cluster = cluster
 		c.keep()
@@ -89,8 +89,8 @@
 
 // keep has the note kept. Guards against a party that says it knows what may go out, is killed, and goes on
 // without knowing it.
-func (c *Council) keep() {
-	n := Note{Cluster: c.cluster}
+func (c *Coordinator) keep() {
+	n := DurableRecord{Cluster: c.cluster}
 	switch p := &c.party; {
 	case p.leaving || p.level < maintenance.LevelResume && c.resume == nil:
 	case p.index == 0 && c.resume != nil: // nothing was heard yet: an earlier process's words still hold
@@ -99,20 +99,20 @@
 	default:
 		n.Index, n.Named, n.Grace = p.index, p.named, p.grace
 	}
-	c.do(Keep{maintenance.Encode(n)})
+	c.do(PersistRecord{maintenance.Encode(n)})
 }
 
-// ErrLater is of a log that this program is too old for.
-var ErrLater = errors.New("all other proxies understand more than this program: it takes no part, and is " +
-	"not ready; start a later one")
+// ErrProgramTooOld is of a log that this program is too old for.
+var ErrProgramTooOld = errors.New("all other proxies understand more than this program: it takes no part, and " +
+	"is not ready; start a later one")
 
 // tooOld gives up the part in a log that this program does not understand.
-func (c *Council) tooOld() {
+func (c *Coordinator) tooOld() {
 	c.core, c.lead, c.resume = nil, lead{}, nil
-	c.do(Log{ErrLater.Error()})
+	c.do(Log{ErrProgramTooOld.Error()})
 }
 
-func (c *Council) retire(why string) {
+func (c *Coordinator) retire(why string) {
 	c.core = nil
 	c.lead = lead{}
 	c.cluster, c.resume = 0, nil
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -14,20 +14,20 @@
 type (
 	// Persist is to be on the disk, synced, before what comes behind it is done.
 	Persist struct{ Write *consensus.Write }
-	// Keep is the same for the note.
-	Keep struct{ Note []byte }
+	// PersistRecord is the same for the note.
+	PersistRecord struct{ Note []byte }
 	// Send has a message sent to a peer; it may be lost. Addr is where it listens, "" if only the name is known.
 	Send struct {
 		To, Addr string
 		Raw      []byte
 	}
-	// Facts tells the reducer what holds now.
-	Facts struct {
-		Index  uint64
-		Marked []maintenance.Mark // nothing new there
-		Named  []string           // nothing new there from Until on, and nothing at all Grace later
-		Until  time.Duration      // on the clock of now; 0: no lease yet, nothing new anywhere
-		Grace  time.Duration
+	// Restrictions tells the reducer what holds now.
+	Restrictions struct {
+		Index      uint64
+		Marked     []maintenance.Mark // nothing new there
+		Named      []string           // nothing new there from Until on, and nothing at all Grace later
+		LeaseUntil time.Duration      // on the clock of now; 0: no lease yet, nothing new anywhere
+		Grace      time.Duration
 	}
 	// Reply ends an Asked.
 	Reply struct {
@@ -35,9 +35,9 @@
 		Answer Answer
 	}
 	// Retire wants the disk set aside and a new identity: DiskBack follows.
-	Retire struct{ Why string }
-	// Left ends Leaving.
-	Left struct{}
+	Retire struct{ Reason string }
+	// LeaveComplete ends Leaving.
+	LeaveComplete struct{}
 	// Log is a line for the operator.
 	Log struct{ Text string }
 )
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -11,16 +11,16 @@
 type (
 	// Tick is due every TickEvery.
 	Tick struct{}
-	// Received brings a peer's message.
-	Received struct{ Raw []byte }
-	// Asked brings an operators' call; Reply with the token follows.
-	Asked struct {
+	// MessageReceived brings a peer's message.
+	MessageReceived struct{ Raw []byte }
+	// CallReceived brings an operators' call; Reply with the token follows.
+	CallReceived struct {
 		Token uint64
 		Call  Call
 	}
-	// Stopped says up to where the reducer keeps to the Facts, and that it has nothing at these machines, of
+	// RestrictionsApplied says up to where the reducer keeps to the Facts, and that it has nothing at these machines, of
 	// these grants.
-	Stopped struct {
+	RestrictionsApplied struct {
 		Index uint64
 		Clear []maintenance.Mark
 	}
@@ -28,30 +28,30 @@
 	Inventory struct{ Machines []maintenance.Seen }
 	// Load counts requests since the last Load, those that are in work at machines now, and what was measured.
 	Load struct {
-		Handled, Refused uint64
-		Busy             float64
-		Avoids           []string // machines that it has set aside
-		Hot              []string // machines where it sends a hot key
-		Rooms            []Room
+		Handled, Shed uint64
+		InFlight      float64
+		Ejected       []string // machines that it has set aside
+		Hot           []string // machines where it sends a hot key
+		Capacities    []Capacity
 	}
 	// Leaving says that the proxy has ended all it had open; Left follows.
 	Leaving struct{}
 	// DiskLost says that a Write failed: nothing behind it was done.
 	DiskLost struct{}
-	// DiskBack says that the disk can be written again, and what is on it.
-	DiskBack struct {
+	// DiskRestored says that the disk can be written again, and what is on it.
+	DiskRestored struct {
 		ID, Boot uint64
 		Saved    consensus.Saved
 		Note     []byte
 	}
 )
 
-func (Tick) event()      {}
-func (Received) event()  {}
-func (Asked) event()     {}
-func (Stopped) event()   {}
-func (Inventory) event() {}
-func (Load) event()      {}
-func (Leaving) event()   {}
-func (DiskLost) event()  {}
-func (DiskBack) event()  {}
+func (Tick) event()                {}
+func (MessageReceived) event()     {}
+func (CallReceived) event()        {}
+func (RestrictionsApplied) event() {}
+func (Inventory) event()           {}
+func (Load) event()                {}
+func (Leaving) event()             {}
+func (DiskLost) event()            {}
+func (DiskRestored) event()        {}
--- a/internal/coordination/exchange.go
+++ b/internal/coordination/exchange.go
@@ -6,8 +6,8 @@
 )
 
 // send has an envelope sent, to itself too.
-func (c *Council) send(to, addr string, e *Envelope) {
-	e.Version, e.From, e.Inc, e.To = uint8(c.cfg.Level), c.cfg.Name, c.cfg.Inc, to
+func (c *Coordinator) send(to, addr string, e *Envelope) {
+	e.Version, e.From, e.Incarnation, e.To = uint8(c.cfg.Level), c.cfg.Name, c.cfg.Incarnation, to
 	if e.Addr, e.Cluster = c.cfg.Addr, c.cluster; c.core != nil {
 		e.ID, e.Boot = c.cfg.ID, c.cfg.Boot
 	}
@@ -20,29 +20,29 @@
 }
 
 // received takes a message. What is not understood, or from another log, is counted and changes nothing.
-func (c *Council) received(raw []byte) {
+func (c *Coordinator) received(raw []byte) {
 	var e Envelope
 	if err := maintenance.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" ||
-		e.Inc == 0 || e.To != c.cfg.Name {
-		c.Foreign++
+		e.Incarnation == 0 || e.To != c.cfg.Name {
+		c.RejectedMessages++
 		return
 	}
 	if e.Cluster != 0 && c.cluster != 0 && e.Cluster != c.cluster {
-		c.Foreign++
+		c.RejectedMessages++
 		return
 	}
 	own := e.From == c.cfg.Name
-	if own && e.Inc != c.cfg.Inc {
-		c.Foreign++ // another process under this one's name
+	if own && e.Incarnation != c.cfg.Incarnation {
+		c.RejectedMessages++ // another process under this one's name
 		return
 	}
 	if !own {
-		m := membership.Member{Name: e.From, Inc: e.Inc, ID: e.ID, Boot: e.Boot, Addr: e.Addr,
+		m := membership.Member{Name: e.From, Incarnation: e.Incarnation, ID: e.ID, Boot: e.Boot, Addr: e.Addr,
 			Level: uint64(e.Version)}
 		if e.Hello != nil {
 			m.Blank = e.Hello.Blank
 		}
-		c.table.Heard(c.now, m)
+		c.table.Observe(c.now, m)
 		if c.leads() {
 			c.lead.voterAt[e.ID] = c.now
 		}
@@ -61,22 +61,22 @@
 	case e.Answer != nil:
 		c.answered(e.Answer)
 	default:
-		c.Foreign++
+		c.RejectedMessages++
 	}
 }
 
-func (c *Council) raft(e *Envelope) {
+func (c *Coordinator) raft(e *Envelope) {
 	if c.core == nil || c.held {
 		return
 	}
 	if e.Cluster == 0 {
-		c.Foreign++
+		c.RejectedMessages++
 		return
 	}
 	if c.cluster == 0 {
 		c.adopt(e.Cluster)
 	}
 	if err := c.core.Step(e.Raft); err != nil {
-		c.Foreign++
+		c.RejectedMessages++
 	}
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -43,12 +43,12 @@
 }
 
 // leads tells whether this proxy leads, as far as it knows.
-func (c *Council) leads() bool {
+func (c *Coordinator) leads() bool {
 	return c.core != nil && c.lead.term != 0 && c.core.Leads() && c.lead.term == c.core.Term()
 }
 
 // leader is who leads, as far as this proxy's part in the log knows.
-func (c *Council) leader() (v Voter, ok bool) {
+func (c *Coordinator) leader() (v Voter, ok bool) {
 	if c.core == nil || c.core.Leader() == 0 {
 		return Voter{}, false
 	}
@@ -56,7 +56,7 @@
 }
 
 // watchLead notes when a lead begins. What counts from it begins later than the votes were given.
-func (c *Council) watchLead() {
+func (c *Coordinator) watchLead() {
 	switch {
 	case c.core == nil || !c.core.Leads():
 		if c.lead.term != 0 {
@@ -75,7 +75,7 @@
 
 // propose has entries agreed on, one at a time, and the lead confirmed for those who wait for it. It tells
 // whether there is something new to be done.
-func (c *Council) propose() bool {
+func (c *Coordinator) propose() bool {
 	l := &c.lead
 	did := false
 	if len(l.want) > 0 && len(l.reads) == 0 {
@@ -119,11 +119,11 @@
 
 // understood is the level that all voters and parties understand, as far as they were heard as they are now.
 // Guards against an entry that counts with some and is turned down by others: their states would differ.
-func (c *Council) understood() uint64 {
-	if c.cfg.Without == LevelWait {
+func (c *Coordinator) understood() uint64 {
+	if c.cfg.Disabled == LevelWait {
 		return maintenance.LevelNow
 	}
-	if len(c.rep.Voters) < len(c.cfg.Founders) || c.core.Changing() {
+	if len(c.rep.Voters) < len(c.cfg.InitialVoters) || c.core.Changing() {
 		return maintenance.LevelFirst // who gets a vote next may understand less
 	}
 	least := c.cfg.Level
@@ -131,7 +131,7 @@
 		if name == c.cfg.Name {
 			return
 		}
-		if m := c.table.Get(name); m == nil || inc != 0 && m.Inc != inc || id != 0 && m.ID != id {
+		if m := c.table.Get(name); m == nil || inc != 0 && m.Incarnation != inc || id != 0 && m.ID != id {
 			least = min(least, maintenance.LevelFirst)
 		} else {
 			least = min(least, m.Level)
@@ -154,7 +154,7 @@
 }
 
 // noteSteps notes when machines came to their steps, on this leader's clock.
-func (c *Council) noteSteps() {
+func (c *Coordinator) noteSteps() {
 	for _, w := range c.rep.Work.Works {
 		if s := c.lead.steps[w.Machine.ID]; !w.Step.Ended() && s.number != w.Number {
 			c.lead.steps[w.Machine.ID] = stepped{w.Number, c.now}
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -42,18 +42,18 @@
 
 // pace is how long a lease lasts, and how often it is renewed: by the most proxies that there ever were,
 // so that a leader's work has a bound, and no leader takes an earlier one's leases for shorter than they are.
-func (c *Council) pace() (lasts, every time.Duration) {
+func (c *Coordinator) pace() (lasts, every time.Duration) {
 	every = max(renewEvery, time.Duration(c.rep.Work.Crowd)*renewPace)
 	return leaseParts * every, every
 }
 
 // expired tells whether a party has surely stopped by itself: its last lease has run out, and the longest
 // deadline has passed since.
-func (c *Council) expired(key string) bool {
+func (c *Coordinator) expired(key string) bool {
 	last := max(c.lead.since, c.lead.renewed[key])
 	lasts, every := c.pace()
 	grace := c.rep.Work.Grace
-	switch c.cfg.Without {
+	switch c.cfg.Disabled {
 	case LeadWait:
 		last = c.lead.renewed[key]
 	case LeaseWait:
@@ -65,7 +65,7 @@
 }
 
 // renewing takes a party's renewal.
-func (c *Council) renewing(e *Envelope) {
+func (c *Coordinator) renewing(e *Envelope) {
 	if !c.leads() {
 		c.refer(e)
 		return
@@ -73,13 +73,13 @@
 	if !c.mayRenew(e) {
 		return
 	}
-	r, key := e.Renew, maintenance.Key(e.From, e.Inc)
-	c.lead.said[key] = &said{c.now, r.Handled, r.Refused, r.Avoids, r.Hot, r.Busy}
-	c.measured(key, r.Rooms)
-	c.noteKnown(key, r.Knows)
+	r, key := e.Renew, maintenance.Key(e.From, e.Incarnation)
+	c.lead.said[key] = &said{c.now, r.Handled, r.Shed, r.Ejected, r.Hot, r.InFlight}
+	c.measured(key, r.Capacities)
+	c.noteKnown(key, r.KnownIndex)
 	c.noteClear(key, r.Clear)
-	c.lead.want = append(c.lead.want, renewer{from: e.From, inc: e.Inc, renew: r, came: c.now})
-	if c.cfg.Without == Confirm {
+	c.lead.want = append(c.lead.want, renewer{from: e.From, inc: e.Incarnation, renew: r, came: c.now})
+	if c.cfg.Disabled == ConfirmLeadership {
 		c.lead.token++
 		c.lead.reads[c.lead.token] = &reading{index: 1, waiting: c.lead.want}
 		c.lead.want = nil
@@ -88,7 +88,7 @@
 }
 
 // refer answers a renewal, at a proxy that doesn't lead, with who may.
-func (c *Council) refer(e *Envelope) {
+func (c *Coordinator) refer(e *Envelope) {
 	no := &Lease{Seq: e.Renew.Seq}
 	if c.party.until > c.now && c.party.hint != e.From {
 		no.Leader = c.party.hint // who was heard to lead lately
@@ -101,9 +101,9 @@
 
 // mayRenew tells whether a renewal is of a party that may have a lease. If not, it sees to what there is to
 // do instead: the party is taken in, or leaves, or is told why it gets none.
-func (c *Council) mayRenew(e *Envelope) bool {
+func (c *Coordinator) mayRenew(e *Envelope) bool {
 	r, work := e.Renew, c.rep.Work
-	p := work.Parties[maintenance.Key(e.From, e.Inc)]
+	p := work.Parties[maintenance.Key(e.From, e.Incarnation)]
 	answer := func(l *Lease) {
 		l.Seq, l.Leader = r.Seq, c.cfg.Name
 		c.send(e.From, e.Addr, &Envelope{Lease: l})
@@ -112,7 +112,7 @@
 	case r.Leaving && p == nil:
 		answer(&Lease{Left: true})
 	case r.Leaving:
-		c.joining(maintenance.Command{Kind: maintenance.Leave, Name: e.From, Inc: e.Inc})
+		c.joining(maintenance.Command{Kind: maintenance.Leave, Name: e.From, Inc: e.Incarnation})
 	case p == nil && e.ID != 0 && b.ID == e.ID && b.Boot >= e.Boot:
 		answer(&Lease{Retire: true})
 	case uint64(e.Version) < work.Level:
@@ -120,10 +120,10 @@
 	case p == nil:
 		c.joining(c.joinOf(e))
 		answer(&Lease{})
-	case r.Seq > r.Heard+deafAfter:
+	case r.Seq > r.LastAnswered+deafAfter:
 		// Guards against leases that never arrive: who can be heard but hears nothing would hold every machine
 		// up for good, since its lease seems to go on.
-		answer(&Lease{Again: true})
+		answer(&Lease{RenewNow: true})
 	case p.Gone:
 		answer(&Lease{}) // another process has its address
 	default:
@@ -133,16 +133,17 @@
 }
 
 // joinOf is the entry that takes in the party of a renewal.
-func (c *Council) joinOf(e *Envelope) maintenance.Command {
-	p := &maintenance.Party{Name: e.From, Inc: e.Inc, Addr: e.Addr, Grace: e.Renew.Grace, ID: e.ID, Boot: e.Boot}
-	if e.Renew.From > 0 && c.rep.Work.Level >= maintenance.LevelResume {
-		p.Resumed, p.Knows = true, e.Renew.From
+func (c *Coordinator) joinOf(e *Envelope) maintenance.Command {
+	p := &maintenance.Party{Name: e.From, Inc: e.Incarnation, Addr: e.Addr, Grace: e.Renew.Grace,
+		ID: e.ID, Boot: e.Boot}
+	if e.Renew.ResumeIndex > 0 && c.rep.Work.Level >= maintenance.LevelResume {
+		p.Resumed, p.Knows = true, e.Renew.ResumeIndex
 	}
 	return maintenance.Command{Kind: maintenance.Join, Party: p}
 }
 
 // noteKnown has it agreed on that a party knows the state, where that is new for a machine in work.
-func (c *Council) noteKnown(key string, knows uint64) {
+func (c *Coordinator) noteKnown(key string, knows uint64) {
 	p := c.rep.Work.Parties[key]
 	news := func(w *maintenance.Work) bool {
 		return !w.Step.Ended() && w.Named > p.Known() && w.Named <= knows
@@ -153,7 +154,7 @@
 }
 
 // noteClear has it agreed on at which machines a party has nothing any more.
-func (c *Council) noteClear(key string, marks []maintenance.Mark) {
+func (c *Coordinator) noteClear(key string, marks []maintenance.Mark) {
 	for _, m := range marks {
 		w := c.rep.Work.Active(m.Machine)
 		if w != nil && w.Granted == m.Grant && !w.Clear[key] &&
@@ -164,7 +165,7 @@
 }
 
 // joining notes a party's coming or going, once.
-func (c *Council) joining(cmd maintenance.Command) {
+func (c *Coordinator) joining(cmd maintenance.Command) {
 	same := func(o maintenance.Command) bool {
 		return o.Kind == cmd.Kind && (o.Party != nil && cmd.Party != nil && o.Party.Key() == cmd.Party.Key() ||
 			o.Party == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
@@ -175,7 +176,7 @@
 }
 
 // confirm asks a majority whether this proxy still leads, for all who wait.
-func (c *Council) confirm() {
+func (c *Coordinator) confirm() {
 	c.lead.token++
 	c.lead.reads[c.lead.token] = &reading{waiting: c.lead.want}
 	c.lead.want = nil
@@ -184,7 +185,7 @@
 
 // confirmed answers those for whom a majority has confirmed the lead after they asked, with the state that
 // was agreed by then. Guards against a leader that was replaced and doesn't know it: what it tells is old.
-func (c *Council) confirmed() {
+func (c *Coordinator) confirmed() {
 	for _, token := range slices.Sorted(maps.Keys(c.lead.reads)) {
 		rd := c.lead.reads[token]
 		if rd.index == 0 || c.core.Applied() < rd.index {
@@ -202,7 +203,7 @@
 }
 
 // grantLease has a party's lease go on.
-func (c *Council) grantLease(r renewer) {
+func (c *Coordinator) grantLease(r renewer) {
 	key := maintenance.Key(r.from, r.inc)
 	p := c.rep.Work.Parties[key]
 	if p == nil || p.Gone {
@@ -211,16 +212,16 @@
 	c.lead.renewed[key] = max(c.lead.renewed[key], r.came)
 	l := c.state()
 	l.Seq = r.renew.Seq
-	l.For, _ = c.pace()
+	l.Duration, _ = c.pace()
 	c.send(p.Name, p.Addr, &Envelope{Lease: l})
 }
 
 // state words what all parties are to know.
-func (c *Council) state() *Lease {
+func (c *Coordinator) state() *Lease {
 	_, every := c.pace()
 	w := c.rep.Work
-	l := &Lease{Every: every, Grace: w.Grace, Index: max(1, w.Index), Named: w.Named(), Marked: w.Marked(),
-		Leader: c.cfg.Name, Level: w.Level}
+	l := &Lease{RenewInterval: every, Grace: w.Grace, Index: max(1, w.Index), Named: w.Named(),
+		Marked: w.Marked(), Leader: c.cfg.Name, Level: w.Level}
 	for _, id := range slices.Sorted(maps.Keys(c.rep.Voters)) {
 		l.Voters = append(l.Voters, c.rep.Voters[id])
 	}
@@ -229,7 +230,7 @@
 
 // push tells all parties at once when what they must know has changed. It is no lease: what was agreed is
 // true whoever tells it.
-func (c *Council) push() {
+func (c *Coordinator) push() {
 	work := c.rep.Work
 	if c.lead.pushAt == work.Index {
 		return
--- a/internal/coordination/log.go
+++ b/internal/coordination/log.go
@@ -10,7 +10,7 @@
 )
 
 // settle does what the log wants done, and what this one has to say to itself.
-func (c *Council) settle() {
+func (c *Coordinator) settle() {
 	for again := true; again; {
 		again = false
 		for len(c.local) > 0 {
@@ -39,7 +39,7 @@
 }
 
 // carry turns what the log wants into effects.
-func (c *Council) carry(out *consensus.Out) {
+func (c *Coordinator) carry(out *consensus.Out) {
 	if out.Write != nil {
 		c.do(Persist{out.Write})
 	}
@@ -67,7 +67,7 @@
 }
 
 // apply takes in an agreed entry.
-func (c *Council) apply(e consensus.Entry) {
+func (c *Coordinator) apply(e consensus.Entry) {
 	if c.core == nil {
 		return // given up at an entry before
 	}
@@ -101,7 +101,7 @@
 }
 
 // changed takes in a change of the voters.
-func (c *Council) changed(e consensus.Entry) {
+func (c *Coordinator) changed(e consensus.Entry) {
 	var f founding
 	if len(e.Conf) > 0 {
 		if err := maintenance.Decode(e.Conf, &f); err != nil {
@@ -120,7 +120,7 @@
 }
 
 // voter is where a voter is, also one that the log has not told of yet.
-func (c *Council) voter(id uint64) (Voter, bool) {
+func (c *Coordinator) voter(id uint64) (Voter, bool) {
 	if v, ok := c.rep.Voters[id]; ok {
 		return v, true
 	}
@@ -132,7 +132,7 @@
 	return Voter{}, false
 }
 
-func (c *Council) lastIndex() uint64 {
+func (c *Coordinator) lastIndex() uint64 {
 	if c.core == nil {
 		return 0
 	}
--- a/internal/coordination/participant.go
+++ b/internal/coordination/participant.go
@@ -44,17 +44,17 @@
 	busy     float64 // mean of busyNow over about busyMemory
 	busyNow  float64
 	busyAt   time.Duration
-	rooms    []Room
+	rooms    []Capacity
 	roomTurn int
 	leaving  bool
 	left     bool
-	told     Facts
+	told     Restrictions
 	toldOnce bool
 	began    time.Duration
 }
 
 // renew asks for the lease to go on, when it is time to.
-func (c *Council) renew() {
+func (c *Coordinator) renew() {
 	p := &c.party
 	if c.now < p.renewAt || p.left {
 		return
@@ -76,21 +76,21 @@
 		return
 	}
 	p.mean(c.now)
-	c.send(to, addr, &Envelope{Renew: &Renew{Seq: p.seq, Knows: p.knows, Clear: p.clear, Grace: c.cfg.Grace,
-		Leaving: p.leaving, Handled: p.handled, Refused: p.refused, Avoids: p.avoids, Heard: p.heard,
-		From: c.told(), Busy: p.busy, Hot: p.hot, Rooms: c.someRooms()}})
+	c.send(to, addr, &Envelope{Renew: &Renew{Seq: p.seq, KnownIndex: p.knows, Clear: p.clear, Grace: c.cfg.Grace,
+		Leaving: p.leaving, Handled: p.handled, Shed: p.refused, Ejected: p.avoids, LastAnswered: p.heard,
+		ResumeIndex: c.told(), InFlight: p.busy, Hot: p.hot, Capacities: c.someRooms()}})
 	p.handled, p.refused = 0, 0
 }
 
 // load takes in what was counted and measured since the last time.
 func (p *party) load(now time.Duration, ev Load) {
 	p.handled += ev.Handled
-	p.refused += ev.Refused
-	p.avoids = ev.Avoids[:min(len(ev.Avoids), mostAvoids)]
+	p.refused += ev.Shed
+	p.avoids = ev.Ejected[:min(len(ev.Ejected), mostAvoids)]
 	p.hot = ev.Hot[:min(len(ev.Hot), mostAvoids)]
-	p.rooms = ev.Rooms
+	p.rooms = ev.Capacities
 	p.mean(now)
-	p.busyNow = ev.Busy
+	p.busyNow = ev.InFlight
 }
 
 // mean lets the mean of what is in work follow up to now.
@@ -102,15 +102,15 @@
 }
 
 // told is the index that this party says it may go on by.
-func (c *Council) told() uint64 {
-	if c.cfg.Without == FromTold {
+func (c *Coordinator) told() uint64 {
+	if c.cfg.Disabled == ReportResumeIndex {
 		return 0
 	}
 	return c.from
 }
 
 // someRooms are the rooms that are told with this renewal.
-func (c *Council) someRooms() (some []Room) {
+func (c *Coordinator) someRooms() (some []Capacity) {
 	p := &c.party
 	for range min(roomsEach, len(p.rooms)) {
 		some = append(some, p.rooms[p.roomTurn%len(p.rooms)])
@@ -120,7 +120,7 @@
 }
 
 // leaderOr is who leads as far as is known, or else one of those who may know, by turns.
-func (c *Council) leaderOr(turn int) (name, addr string) {
+func (c *Coordinator) leaderOr(turn int) (name, addr string) {
 	// Guards against asking for good who led when this one lost its vote: it hears no more of elections.
 	if c.core != nil && !c.held && slices.Contains(c.core.Voters(), c.cfg.ID) {
 		if leader, ok := c.leader(); ok {
@@ -138,7 +138,7 @@
 	for _, v := range c.party.voters {
 		likely = append(likely, v.Name)
 	}
-	for _, n := range c.cfg.Founders {
+	for _, n := range c.cfg.InitialVoters {
 		if !slices.Contains(likely, n) && n != c.cfg.Name {
 			likely = append(likely, n)
 		}
@@ -156,17 +156,17 @@
 	if len(names) == 0 {
 		return c.cfg.Name, c.cfg.Addr
 	}
-	name = names[(turn+int(c.cfg.Inc%uint64(len(names))))%len(names)]
+	name = names[(turn+int(c.cfg.Incarnation%uint64(len(names))))%len(names)]
 	return name, addrs[name]
 }
 
 // leased takes in what a leader tells.
-func (c *Council) leased(e *Envelope) {
+func (c *Coordinator) leased(e *Envelope) {
 	l, p := e.Lease, &c.party
 	if c.cluster == 0 && e.Cluster != 0 {
 		c.adopt(e.Cluster)
 	}
-	if l.Level > c.cfg.Level && c.core != nil && l.For == 0 {
+	if l.Level > c.cfg.Level && c.core != nil && l.Duration == 0 {
 		c.tooOld()
 		return
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	c.informed(l)
-	if mine && l.For > 0 && l.Index != 0 {
+	if mine && l.Duration > 0 && l.Index != 0 {
 		c.extend(l, sent)
 	}
 }
@@ -192,12 +192,12 @@
 	if l.Leader == from { // guards against taking its own answer, while it knows of no leader, for one
 		p.heard = max(p.heard, l.Seq)
 	}
-	if l.Again {
+	if l.RenewNow {
 		p.renewAt = 0
 	}
 	if l.Seq == p.seq && l.Leader != "" && l.Leader != p.hint {
 		p.hint = l.Leader
-		if l.For == 0 && l.Leader != from {
+		if l.Duration == 0 && l.Leader != from {
 			p.renewAt = 0
 		}
 	} else if l.Leader == "" {
@@ -207,7 +207,7 @@
 }
 
 // dismissed tells whether an answer ends this party or the identity on its disk: there is no lease in it.
-func (c *Council) dismissed(l *Lease) bool {
+func (c *Coordinator) dismissed(l *Lease) bool {
 	p := &c.party
 	switch {
 	case l.Retire && p.leaving:
@@ -217,14 +217,14 @@
 		return true
 	case l.Left && p.leaving && !p.left:
 		p.left = true
-		c.do(Left{})
+		c.do(LeaveComplete{})
 		return true
 	}
 	return false
 }
 
 // informed takes in the state that was agreed on. It is so for good, whoever tells it.
-func (c *Council) informed(l *Lease) {
+func (c *Coordinator) informed(l *Lease) {
 	p := &c.party
 	if l.Index > p.index {
 		news := !slices.Equal(p.named, l.Named) || p.level != l.Level
@@ -244,13 +244,13 @@
 }
 
 // extend has the lease last from when its renewal was sent: the leader counts from later on.
-func (c *Council) extend(l *Lease, sent time.Duration) {
+func (c *Coordinator) extend(l *Lease, sent time.Duration) {
 	p := &c.party
-	p.every = max(joinEvery, l.Every)
-	if c.cfg.Without == SentCount {
+	p.every = max(joinEvery, l.RenewInterval)
+	if c.cfg.Disabled == LeaseFromSendTime {
 		sent = c.now
 	}
-	p.until = max(p.until, sent+l.For)
+	p.until = max(p.until, sent+l.Duration)
 	votes := c.core != nil && !c.core.Changing() && slices.Contains(c.core.Voters(), c.cfg.ID)
 	if votes && l.Index >= c.rep.Work.Index &&
 		!slices.ContainsFunc(l.Voters, func(v Voter) bool { return v.ID == c.cfg.ID }) {
@@ -260,7 +260,7 @@
 
 // leave ends this party. Guards against a next process that goes on by what the disk knew: nobody waits for
 // this party's word any more once it has left.
-func (c *Council) leave() {
+func (c *Coordinator) leave() {
 	p := &c.party
 	p.leaving, p.renewAt, c.resume = true, 0, nil
 	if c.core != nil && c.core.Leads() {
@@ -268,7 +268,7 @@
 	}
 	if !c.kept && p.level >= maintenance.LevelResume {
 		p.left = true // it is found out by its lease
-		c.do(Left{})
+		c.do(LeaveComplete{})
 		return
 	}
 	c.keep()
--- a/internal/coordination/restrictions.go
+++ b/internal/coordination/restrictions.go
@@ -16,7 +16,7 @@
 
 // stopped takes in what the reducer says. Guards against telling the leader that something is known that
 // still lies before the reducer: a process paused just then would go on by what it knew before.
-func (c *Council) stopped(ev Stopped) {
+func (c *Coordinator) stopped(ev RestrictionsApplied) {
 	p := &c.party
 	p.reducer = max(p.reducer, ev.Index)
 	c.known()
@@ -30,35 +30,35 @@
 
 // known notes up to where this party may say that it knows the state: its reducer keeps to it, and the disk
 // knows what is named.
-func (c *Council) known() {
+func (c *Coordinator) known() {
 	if p := &c.party; c.kept || p.level < maintenance.LevelResume {
 		p.knows = max(p.knows, min(p.reducer, p.index))
 	}
 }
 
 // tell tells the reducer what holds, when it has changed.
-func (c *Council) tell() {
+func (c *Coordinator) tell() {
 	p := &c.party
-	f := Facts{Index: p.index, Marked: p.marked, Named: p.named, Until: p.until, Grace: p.grace}
-	if r := c.resume; r != nil && f.Until == 0 && p.began > 0 && c.now-p.began >= resumeAfter {
+	f := Restrictions{Index: p.index, Marked: p.marked, Named: p.named, LeaseUntil: p.until, Grace: p.grace}
+	if r := c.resume; r != nil && f.LeaseUntil == 0 && p.began > 0 && c.now-p.began >= resumeAfter {
 		// As if its lease had run out: what it doesn't hold can't be told free, since the log waits for the word
 		// of the process that was here before, or for this one's.
-		if f.Until = 1; f.Index < r.Index {
+		if f.LeaseUntil = 1; f.Index < r.Index {
 			f.Index, f.Named, f.Marked, f.Grace = r.Index, r.Named, nil, r.Grace
 		}
-		if p.told.Until == 0 {
+		if p.told.LeaseUntil == 0 {
 			c.do(Log{fmt.Sprintf("no lease yet: serves by what was known here at entry %d, and sends nothing to the "+
 				"%d machines that might go out", f.Index, len(f.Named))})
 		}
 	}
-	if f.Until == 0 && c.cfg.AloneAfter > 0 && p.began > 0 && c.now-p.began >= c.cfg.AloneAfter {
-		f.Until = Forever
-		if p.told.Until != Forever {
+	if f.LeaseUntil == 0 && c.cfg.AloneAfter > 0 && p.began > 0 && c.now-p.began >= c.cfg.AloneAfter {
+		f.LeaseUntil = Forever
+		if p.told.LeaseUntil != Forever {
 			c.do(Log{fmt.Sprintf("no lease after %v: serves alone, as configured, and can't know which machines "+
 				"are out", c.cfg.AloneAfter)})
 		}
 	}
-	if p.toldOnce && f.Index == p.told.Index && f.Until == p.told.Until && f.Grace == p.told.Grace {
+	if p.toldOnce && f.Index == p.told.Index && f.LeaseUntil == p.told.LeaseUntil && f.Grace == p.told.Grace {
 		return
 	}
 	p.told, p.toldOnce = f, true
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -8,7 +8,7 @@
 )
 
 // Status words how things stand, for operators.
-func (c *Council) Status() string {
+func (c *Coordinator) Status() string {
 	var b strings.Builder
 	work, v := c.rep.Work, c.view()
 	fmt.Fprintf(&b, "index %d leader %s term %d voters", work.Index, c.cfg.Name, c.lead.term)
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -22,19 +22,19 @@
 
 // measured takes in what a party measured of machines' room. A few voices count for each machine, so that
 // nothing follows from one of them, and memory has a bound.
-func (c *Council) measured(key string, rooms []Room) {
+func (c *Coordinator) measured(key string, rooms []Capacity) {
 	for _, r := range rooms[:min(len(rooms), roomsEach)] {
-		if _, listed := c.seen[r.Machine]; !listed || !(r.Most >= 0 && r.Most < 1e9) {
+		if _, listed := c.seen[r.Machine]; !listed || !(r.Requests >= 0 && r.Requests < 1e9) {
 			continue
 		}
 		v := slices.DeleteFunc(c.lead.rooms[r.Machine], func(v voice) bool { return v.key == key })
-		v = append(v, voice{key, r.Most, c.now})
+		v = append(v, voice{key, r.Requests, c.now})
 		c.lead.rooms[r.Machine] = slices.Delete(v, 0, max(0, len(v)-roomVoices))
 	}
 }
 
 // room is the median of what was lately measured of a machine's room, 0 if it is not known.
-func (c *Council) room(machine string) float64 {
+func (c *Coordinator) room(machine string) float64 {
 	var all []float64
 	for _, v := range c.lead.rooms[machine] {
 		if c.now-v.at < roomFor {
@@ -49,7 +49,7 @@
 }
 
 // listed takes in what discovery lists.
-func (c *Council) listed(all []maintenance.Seen) {
+func (c *Coordinator) listed(all []maintenance.Seen) {
 	c.seenAt = c.now
 	c.seen = make(map[string]maintenance.Seen, len(all))
 	for _, m := range all {
@@ -58,7 +58,7 @@
 }
 
 // view is what this leader knows of the fleet.
-func (c *Council) view() maintenance.View {
+func (c *Coordinator) view() maintenance.View {
 	v := maintenance.View{Now: c.now, Machines: make(map[string]maintenance.Seen, len(c.seen)), Listed: c.seenAt,
 		Expired: c.expired, Since: map[string]time.Duration{}, WarmAfter: c.cfg.WarmAfter}
 	v.Level = c.rep.Work.Level
--- a/internal/coordination/voters.go
+++ b/internal/coordination/voters.go
@@ -13,7 +13,7 @@
 const changeAgain = 2 * time.Second
 
 // steer sees to the voters: as many as there were founders, one change at a time, each proxy at most once.
-func (c *Council) steer() {
+func (c *Coordinator) steer() {
 	if w := c.rep.Work.Active(maintenance.ProxyID(c.cfg.Name)); w != nil && w.Step.Marked() {
 		c.core.Yield() // a leader whose own machine goes out gives up its lead first
 	}
@@ -32,7 +32,7 @@
 		return
 	}
 	voters := c.core.Voters()
-	if len(voters) < len(c.cfg.Founders) {
+	if len(voters) < len(c.cfg.InitialVoters) {
 		c.changeVoters(spare)
 		return
 	}
@@ -45,13 +45,13 @@
 }
 
 // mayGetVote tells whether a member can be reached and understands the log.
-func (c *Council) mayGetVote(m *membership.Member) bool {
+func (c *Coordinator) mayGetVote(m *membership.Member) bool {
 	_, every := c.pace()
 	return m.ID != 0 && m.Level >= c.rep.Work.Level && c.table.State(c.now, m.Name, every) == membership.Alive
 }
 
 // renewedVoter is a voter whose process came back as another identity, and that one; nil if there is none.
-func (c *Council) renewedVoter() (old uint64, now *membership.Member) {
+func (c *Coordinator) renewedVoter() (old uint64, now *membership.Member) {
 	voters := c.core.Voters()
 	for _, id := range voters {
 		v, ok := c.voter(id)
@@ -64,7 +64,7 @@
 }
 
 // spareVoter is who may get a vote, founders first; nil if nobody may.
-func (c *Council) spareVoter() (spare *membership.Member) {
+func (c *Coordinator) spareVoter() (spare *membership.Member) {
 	isVoter := map[string]bool{}
 	for _, id := range c.core.Voters() {
 		if v, ok := c.voter(id); ok {
@@ -75,7 +75,8 @@
 		if isVoter[m.Name] || !c.mayGetVote(m) {
 			continue
 		}
-		if spare == nil || slices.Contains(c.cfg.Founders, m.Name) && !slices.Contains(c.cfg.Founders, spare.Name) {
+		if spare == nil || slices.Contains(c.cfg.InitialVoters, m.Name) &&
+			!slices.Contains(c.cfg.InitialVoters, spare.Name) {
 			spare = m
 		}
 	}
@@ -83,7 +84,7 @@
 }
 
 // changeVoters gives a member a vote, and takes it from others.
-func (c *Council) changeVoters(add *membership.Member, remove ...uint64) {
+func (c *Coordinator) changeVoters(add *membership.Member, remove ...uint64) {
 	c.lead.change = c.now
 	who := maintenance.Encode(founding{Voters: []Voter{{add.ID, add.Name, add.Addr}}})
 	if err := c.core.Change([]uint64{add.ID}, remove, who); err == nil {
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -13,47 +13,47 @@
 	Grant   uint64
 }
 
-// Facts are what is known, and until when that is enough.
-type Facts[K comparable] struct {
-	Index  uint64
-	Marked []Mark[K]
-	Named  []K
-	Until  time.Duration // 0: no lease yet
-	Grace  time.Duration
+// Restrictions are what is known, and until when that is enough.
+type Restrictions[K comparable] struct {
+	Index      uint64
+	Marked     []Mark[K]
+	Named      []K
+	LeaseUntil time.Duration // 0: no lease yet
+	Grace      time.Duration
 }
 
-// Set is the state. New makes one that holds everything: without a lease nothing may be sent.
-type Set[K comparable] struct {
-	facts Facts[K]
+// Fence is the state. New makes one that holds everything: without a lease nothing may be sent.
+type Fence[K comparable] struct {
+	facts Restrictions[K]
 	held  map[K]bool // nil: everything
 	lapse bool       // the lease has run out
 	cut   bool       // and what was open then is to be cut, or has been
 }
 
 // New is a Set before its first lease.
-func New[K comparable]() *Set[K] { return &Set[K]{} }
+func New[K comparable]() *Fence[K] { return &Fence[K]{} }
 
-// Told takes in facts. What changed is told by the next At.
-func (s *Set[K]) Told(f Facts[K]) {
+// Update takes in facts. What changed is told by the next At.
+func (s *Fence[K]) Update(f Restrictions[K]) {
 	if f.Index < s.facts.Index {
 		return // an older state is never gone back to
 	}
 	if f.Index > s.facts.Index {
 		s.held = nil
 	}
-	f.Until = max(f.Until, s.facts.Until)
+	f.LeaseUntil = max(f.LeaseUntil, s.facts.LeaseUntil)
 	s.facts = f
 }
 
-// At is to be asked before each event. Changed says that what Holds tells may differ from before; cut, that
+// Advance is to be asked before each event. Changed says that what Holds tells may differ from before; cut, that
 // all that is open at named machines is to be closed: the longest deadline has passed since the lease ran
 // out.
-func (s *Set[K]) At(now time.Duration) (changed, cut bool) {
+func (s *Fence[K]) Advance(now time.Duration) (changed, cut bool) {
 	f := &s.facts
-	if f.Until == 0 {
+	if f.LeaseUntil == 0 {
 		return false, false
 	}
-	lapse := now >= f.Until
+	lapse := now >= f.LeaseUntil
 	if !lapse {
 		s.cut = false
 	}
@@ -69,48 +69,48 @@
 			}
 		}
 	}
-	if lapse && !s.cut && now-f.Until >= f.Grace {
+	if lapse && !s.cut && now-f.LeaseUntil >= f.Grace {
 		s.cut, cut = true, true
 	}
 	return changed, cut
 }
 
-// Holds tells whether nothing new may be sent to a machine.
-func (s *Set[K]) Holds(id K) bool { return s.held == nil || s.held[id] }
+// Blocks tells whether nothing new may be sent to a machine.
+func (s *Fence[K]) Blocks(id K) bool { return s.held == nil || s.held[id] }
 
-// Leased tells whether there ever was a lease.
-func (s *Set[K]) Leased() bool { return s.facts.Until > 0 }
+// EverLeased tells whether there ever was a lease.
+func (s *Fence[K]) EverLeased() bool { return s.facts.LeaseUntil > 0 }
 
 // Named lists the machines that may go out.
-func (s *Set[K]) Named() []K { return s.facts.Named }
+func (s *Fence[K]) Named() []K { return s.facts.Named }
 
 // Index is that of the state that is kept to.
-func (s *Set[K]) Index() uint64 { return s.facts.Index }
+func (s *Fence[K]) Index() uint64 { return s.facts.Index }
 
-// Marks counts the machines that are marked.
-func (s *Set[K]) Marks() int { return len(s.facts.Marked) }
+// MarkCount counts the machines that are marked.
+func (s *Fence[K]) MarkCount() int { return len(s.facts.Marked) }
 
-// Until is when the lease ends that a machine may be sent to by, 0 if it needs none.
-func (s *Set[K]) Until(id K) time.Duration {
+// LeaseUntil is when the lease ends that a machine may be sent to by, 0 if it needs none.
+func (s *Fence[K]) LeaseUntil(id K) time.Duration {
 	if !slices.Contains(s.facts.Named, id) {
 		return 0
 	}
-	return s.facts.Until
+	return s.facts.LeaseUntil
 }
 
-// Due is when At has something to tell at the latest, if nothing is told before; 0: never.
-func (s *Set[K]) Due() time.Duration {
+// NextDeadline is when At has something to tell at the latest, if nothing is told before; 0: never.
+func (s *Fence[K]) NextDeadline() time.Duration {
 	switch f := &s.facts; {
-	case f.Until == 0 || s.cut:
+	case f.LeaseUntil == 0 || s.cut:
 		return 0
 	case s.lapse:
-		return f.Until + f.Grace
+		return f.LeaseUntil + f.Grace
 	default:
-		return f.Until
+		return f.LeaseUntil
 	}
 }
 
-// Clear lists the marks of machines at which open counts nothing.
-func (s *Set[K]) Clear(open func(K) int) []Mark[K] {
+// ClearMarks lists the marks of machines at which open counts nothing.
+func (s *Fence[K]) ClearMarks(open func(K) int) []Mark[K] {
 	return slices.DeleteFunc(slices.Clone(s.facts.Marked), func(m Mark[K]) bool { return open(m.Machine) > 0 })
 }
--- a/internal/maintenancesim/disk.go
+++ b/internal/maintenancesim/disk.go
@@ -55,9 +55,9 @@
 }
 
 // open is a start on this disk.
-func (d *disk) open() coordination.DiskBack {
+func (d *disk) open() coordination.DiskRestored {
 	d.boot++
-	b := coordination.DiskBack{ID: d.id, Boot: d.boot, Note: d.note}
+	b := coordination.DiskRestored{ID: d.id, Boot: d.boot, Note: d.note}
 	if d.hard != nil {
 		b.Saved.Hard = proto.CloneOf(d.hard)
 	}
--- a/internal/maintenancesim/faults.go
+++ b/internal/maintenancesim/faults.go
@@ -23,7 +23,7 @@
 		return
 	}
 	m := w.machines[w.rng.IntN(len(w.machines))]
-	if p.left || p.holds.Holds(m.ID) || !m.ready {
+	if p.left || p.holds.Blocks(m.ID) || !m.ready {
 		return
 	}
 	who, f := p.key(), &flight{machine: m.ID}
@@ -95,9 +95,10 @@
 		all = append(all, maintenance.Seen{Machine: m.Machine, Ready: m.ready})
 	}
 	p.step(coordination.Inventory{Machines: all})
-	load := coordination.Load{Handled: 100, Busy: float64(len(p.flights))}
+	load := coordination.Load{Handled: 100, InFlight: float64(len(p.flights))}
 	for _, m := range p.w.machines {
-		load.Rooms = append(load.Rooms, coordination.Room{Machine: m.ID, Most: 40 + 40*p.w.rng.Float64()})
+		load.Capacities = append(load.Capacities, coordination.Capacity{Machine: m.ID,
+			Requests: 40 + 40*p.w.rng.Float64()})
 		if p.w.rng.IntN(20) == 0 && !p.w.healed {
 			load.Hot = append(load.Hot, m.ID)
 		}
@@ -124,7 +125,7 @@
 		w.at(d, func() {
 			for _, p := range w.proxies {
 				if p.name == to && p.alive {
-					p.later(0, func() { p.step(coordination.Received{Raw: raw}) })
+					p.later(0, func() { p.step(coordination.MessageReceived{Raw: raw}) })
 				}
 			}
 		})
@@ -201,7 +202,7 @@
 	for range 1 + w.rng.IntN(2) {
 		p := w.proxies[w.rng.IntN(len(w.proxies))]
 		if p.alive {
-			p.later(0, func() { p.step(coordination.Asked{Token: w.rng.Uint64(), Call: call}) })
+			p.later(0, func() { p.step(coordination.CallReceived{Token: w.rng.Uint64(), Call: call}) })
 		}
 	}
 	w.at(w.between(time.Second, 3*time.Second), func() { w.insist(call, tries+1) })
@@ -296,7 +297,7 @@
 
 func (w *world) leader(or *proxy) *proxy {
 	for _, p := range w.proxies {
-		if p.alive && p.council.Leads() {
+		if p.alive && p.council.IsLeader() {
 			return p
 		}
 	}
@@ -306,7 +307,8 @@
 // wholeBut tells whether all proxies but one have run undisturbed for long enough to have what was agreed.
 func (w *world) wholeBut(p *proxy) bool {
 	for _, o := range w.proxies {
-		if !o.alive || o.paused || o.disk.full || o != p && o.council.Work().Index < p.council.Work().Index {
+		if !o.alive || o.paused || o.disk.full || o != p &&
+			o.council.Maintenance().Index < p.council.Maintenance().Index {
 			return false
 		}
 	}
@@ -315,7 +317,7 @@
 			return false
 		}
 	}
-	return p.council.Work().Index > 0
+	return p.council.Maintenance().Index > 0
 }
 
 func (w *world) cutAll(p *proxy, out, in bool, lasts time.Duration) {
@@ -404,13 +406,14 @@
 
 func (w *world) status() string {
 	for _, p := range w.proxies {
-		if p.alive && p.council.Leads() {
+		if p.alive && p.council.IsLeader() {
 			return p.council.Status()
 		}
 	}
 	out := "no leader\n"
 	for _, p := range w.proxies {
-		out += fmt.Sprintf("%s alive %t paused %t index %d\n", p.name, p.alive, p.paused, p.council.Work().Index)
+		out += fmt.Sprintf("%s alive %t paused %t index %d\n", p.name, p.alive, p.paused,
+			p.council.Maintenance().Index)
 	}
 	return out
 }
--- a/internal/maintenancesim/play.go
+++ b/internal/maintenancesim/play.go
@@ -31,7 +31,7 @@
 	Trace    func(string)
 	// Break and Without take a guard out, to show that the judge finds what it guards against.
 	Break   Break
-	Without coordination.Guard
+	Without coordination.SafetyCheck
 }
 
 // Break is a guard that is taken out.
@@ -134,8 +134,8 @@
 	backlog  []func()
 	rate     float64
 	offset   time.Duration
-	council  *coordination.Council
-	holds    *fencing.Set[string]
+	council  *coordination.Coordinator
+	holds    *fencing.Fence[string]
 	disk     *disk
 	old      *disk
 	aged     bool // it had an older disk once: the library may find out
@@ -238,10 +238,10 @@
 // through tells whether all orders are through, after all faults are over.
 func (w *world) through() bool {
 	for _, p := range w.proxies {
-		if !p.alive || !p.council.Leads() {
+		if !p.alive || !p.council.IsLeader() {
 			continue
 		}
-		work := p.council.Work()
+		work := p.council.Maintenance()
 		done := 0
 		for _, x := range work.Works {
 			if !x.Step.Ended() && x.Step != maintenance.Failed {
@@ -289,9 +289,9 @@
 			peers = append(peers, o.name)
 		}
 	}
-	c, err := coordination.New(coordination.Config{Name: p.name, Inc: p.inc, Addr: "a-" + p.name,
-		Founders: w.founders(), Peers: peers, Grace: grace, Seed: w.rng.Uint64(),
-		ReplaceAfter: 8 * time.Second, WarmAfter: time.Second, Without: w.cfg.Without, Level: p.level,
+	c, err := coordination.New(coordination.Config{Name: p.name, Incarnation: p.inc, Addr: "a-" + p.name,
+		InitialVoters: w.founders(), Peers: peers, Grace: grace, Seed: w.rng.Uint64(),
+		ReplaceAfter: 8 * time.Second, WarmAfter: time.Second, Disabled: w.cfg.Without, Level: p.level,
 		ID: back.ID, Boot: back.Boot, Saved: back.Saved, Note: back.Note})
 	if err != nil {
 		w.report.Fault = fmt.Errorf("%s does not start: %w", p.name, err)
@@ -362,7 +362,7 @@
 		p.step(p.disk.open())
 		return
 	}
-	if work := p.council.Work(); work.Index != p.seenWork {
+	if work := p.council.Maintenance(); work.Index != p.seenWork {
 		p.seenWork = work.Index
 		w.judge.State(p.name, work)
 		w.staff(work)
@@ -417,7 +417,7 @@
 			return true
 		}
 		return p.disk.write(e.Write)
-	case coordination.Keep:
+	case coordination.PersistRecord:
 		if p.disk.full {
 			return false
 		}
@@ -426,19 +426,19 @@
 		}
 	case coordination.Send:
 		w.deliver(p.name, e.To, e.Raw)
-	case coordination.Facts:
-		f := fencing.Facts[string]{Index: e.Index, Named: e.Named, Until: e.Until, Grace: e.Grace}
+	case coordination.Restrictions:
+		f := fencing.Restrictions[string]{Index: e.Index, Named: e.Named, LeaseUntil: e.LeaseUntil, Grace: e.Grace}
 		for _, m := range e.Marked {
 			f.Marked = append(f.Marked, fencing.Mark[string]{Machine: m.Machine, Grant: m.Grant})
 		}
-		if w.cfg.Break == NoLapse && f.Until > 0 {
-			f.Until = coordination.Forever
+		if w.cfg.Break == NoLapse && f.LeaseUntil > 0 {
+			f.LeaseUntil = coordination.Forever
 		}
 		if w.cfg.Break == NoCut {
 			f.Grace = time.Hour
 		}
 		p.later(w.between(0, 5*time.Millisecond), func() {
-			p.holds.Told(f)
+			p.holds.Update(f)
 			p.react()
 		})
 	case coordination.Reply:
@@ -455,10 +455,10 @@
 			}
 		}
 	case coordination.Retire:
-		w.trace("%s retires: %s", p.name, e.Why)
+		w.trace("%s retires: %s", p.name, e.Reason)
 		p.disk = newDisk(w.rng)
 		p.step(p.disk.open())
-	case coordination.Left:
+	case coordination.LeaveComplete:
 		p.kill()
 	case coordination.Log:
 		w.trace("%s: %s", p.name, e.Text)
@@ -468,14 +468,14 @@
 
 // react is the reducer after an event: it looks at the clock first.
 func (p *proxy) react() {
-	_, cut := p.holds.At(p.clock())
+	_, cut := p.holds.Advance(p.clock())
 	if cut {
 		for _, id := range p.holds.Named() {
 			p.endAll(id)
 		}
 	}
 	var clear []maintenance.Mark
-	for _, m := range p.holds.Clear(func(id string) int {
+	for _, m := range p.holds.ClearMarks(func(id string) int {
 		if p.w.cfg.Break == NoClear {
 			return 0
 		}
@@ -483,8 +483,8 @@
 	}) {
 		clear = append(clear, maintenance.Mark{Machine: m.Machine, Grant: m.Grant})
 	}
-	p.step(coordination.Stopped{Index: p.holds.Index(), Clear: clear})
-	if due := p.holds.Due(); p.alive && due > 0 && due < coordination.Forever && due != p.wakeAt {
+	p.step(coordination.RestrictionsApplied{Index: p.holds.Index(), Clear: clear})
+	if due := p.holds.NextDeadline(); p.alive && due > 0 && due < coordination.Forever && due != p.wakeAt {
 		p.wakeAt = due
 		d := time.Duration(float64(due-p.clock()) / p.rate)
 		p.later(max(0, d)+time.Microsecond, p.react)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,14 +10,14 @@
 
 // Member is a peer as last heard.
 type Member struct {
-	Name  string
-	Inc   uint64 // its incarnation: another start is another one
-	ID    uint64 // as a voter
-	Boot  uint64 // which start this is of that identity
-	Addr  string // where it listens to its peers, as it says itself
-	Blank bool   // it has never been part of a log
-	Level uint64 // what it understands
-	Heard time.Duration
+	Name        string
+	Incarnation uint64 // its incarnation: another start is another one
+	ID          uint64 // as a voter
+	Boot        uint64 // which start this is of that identity
+	Addr        string // where it listens to its peers, as it says itself
+	Blank       bool   // it has never been part of a log
+	Level       uint64 // what it understands
+	LastHeard   time.Duration
 }
 
 // State is what to think of a peer.
@@ -50,10 +50,10 @@
 	return &Table{lostAfter: lostAfter, all: map[string]*Member{}, boots: map[uint64]uint64{}}
 }
 
-// Heard takes in that a peer spoke. It tells whether this process of it was not known. Guards against a late
+// Observe takes in that a peer spoke. It tells whether this process of it was not known. Guards against a late
 // word of an earlier process: only starts of one identity have an order, and there the later one counts.
-func (t *Table) Heard(now time.Duration, m Member) bool {
-	m.Heard = now
+func (t *Table) Observe(now time.Duration, m Member) bool {
+	m.LastHeard = now
 	old := t.all[m.Name]
 	if old != nil && old.ID == m.ID && old.Boot > m.Boot {
 		return false
@@ -65,14 +65,15 @@
 		t.evict()
 	}
 	t.all[m.Name] = &m
-	return old == nil || old.Inc != m.Inc
+	return old == nil || old.Incarnation != m.Incarnation
 }
 
 // evict forgets who has not been heard for longest.
 func (t *Table) evict() {
 	var oldest *Member
 	for _, m := range t.all {
-		if oldest == nil || m.Heard < oldest.Heard || m.Heard == oldest.Heard && m.Name < oldest.Name {
+		if oldest == nil || m.LastHeard < oldest.LastHeard ||
+			m.LastHeard == oldest.LastHeard && m.Name < oldest.Name {
 			oldest = m
 		}
 	}
@@ -80,8 +81,8 @@
 	delete(t.boots, oldest.ID)
 }
 
-// Boot is the latest start that was heard of an identity.
-func (t *Table) Boot(id uint64) uint64 { return t.boots[id] }
+// LatestBoot is the latest start that was heard of an identity.
+func (t *Table) LatestBoot(id uint64) uint64 { return t.boots[id] }
 
 // Get is a peer, nil if it was never heard.
 func (t *Table) Get(name string) *Member { return t.all[name] }
@@ -92,9 +93,9 @@
 	switch {
 	case m == nil:
 		return Unknown
-	case now-m.Heard > max(t.lostAfter, suspectAfter*pace):
+	case now-m.LastHeard > max(t.lostAfter, suspectAfter*pace):
 		return Lost
-	case now-m.Heard > suspectAfter*pace:
+	case now-m.LastHeard > suspectAfter*pace:
 		return Suspected
 	}
 	return Alive
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,18 +9,18 @@
 // TestTable covers what a proxy believes of its peers: ages, earlier processes' late words, a bound.
 func TestTable(t *testing.T) {
 	table := New(10 * time.Second)
-	a := Member{Name: "a", Inc: 1, ID: 7, Boot: 2, Addr: "x"}
-	if !table.Heard(time.Second, a) || table.Heard(2*time.Second, a) {
+	a := Member{Name: "a", Incarnation: 1, ID: 7, Boot: 2, Addr: "x"}
+	if !table.Observe(time.Second, a) || table.Observe(2*time.Second, a) {
 		t.Error("a process is news once")
 	}
 	late := a
-	late.Boot, late.Inc, late.Addr = 1, 9, "y"
-	if table.Heard(3*time.Second, late) || table.Get("a").Addr != "x" || table.Boot(7) != 2 {
+	late.Boot, late.Incarnation, late.Addr = 1, 9, "y"
+	if table.Observe(3*time.Second, late) || table.Get("a").Addr != "x" || table.LatestBoot(7) != 2 {
 		t.Error("a late word of an earlier process counts")
 	}
 	again := a
-	again.Boot, again.Inc = 3, 2
-	if !table.Heard(4*time.Second, again) || table.Boot(7) != 3 {
+	again.Boot, again.Incarnation = 3, 2
+	if !table.Observe(4*time.Second, again) || table.LatestBoot(7) != 3 {
 		t.Error("the next process is not known as another one")
 	}
 	for at, want := range map[time.Duration]State{4: Alive, 7: Alive, 8: Suspected, 14: Suspected, 15: Lost} {
@@ -32,7 +32,7 @@
 		t.Error("who was never heard is known")
 	}
 	for i := range maxMembers + 10 {
-		table.Heard(time.Minute+time.Duration(i), Member{Name: fmt.Sprint("m", i), ID: uint64(100 + i), Boot: 1})
+		table.Observe(time.Minute+time.Duration(i), Member{Name: fmt.Sprint("m", i), ID: uint64(100 + i), Boot: 1})
 	}
 	if len(table.all) > maxMembers || table.Get("a") != nil || table.Get(fmt.Sprint("m", maxMembers)) == nil {
 		t.Errorf("%d are kept, or not the latest ones", len(table.all))
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -38,10 +38,10 @@
 	name    string
 	id      func(string) lg.ServerID
 	now     func() time.Duration
-	facts   func(f fencing.Facts[lg.ServerID], own uint64)
+	facts   func(f fencing.Restrictions[lg.ServerID], own uint64)
 	ln      net.Listener
 	disk    *consensus.Disk
-	council *coordination.Council
+	council *coordination.Coordinator
 	events  chan coordination.Event
 	done    chan struct{}
 	ended   sync.WaitGroup
@@ -71,7 +71,7 @@
 	ID        func(instance string) lg.ServerID // the number of a machine
 	// Facts gets what holds, from the node's own goroutine. Own is the grant by which this proxy's own machine
 	// is to go out; 0: it isn't.
-	Facts func(f fencing.Facts[lg.ServerID], own uint64)
+	Facts func(f fencing.Restrictions[lg.ServerID], own uint64)
 }
 
 // Start opens the disk and the socket and takes part from then on.
@@ -97,11 +97,11 @@
 		}
 	}
 	slices.Sort(names)
-	n.council, err = coordination.New(coordination.Config{Name: o.Name, Inc: rand.Uint64() | 1,
-		Addr: cfg.Advertise, Founders: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed,
+	n.council, err = coordination.New(coordination.Config{Name: o.Name, Incarnation: rand.Uint64() | 1,
+		Addr: cfg.Advertise, InitialVoters: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed,
 		ReplaceAfter: cfg.ReplaceAfter, WarmAfter: o.WarmAfter, Level: rigLevel(),
 		AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot, Saved: disk.Saved, Note: disk.Note})
-	if errors.Is(err, coordination.ErrLater) {
+	if errors.Is(err, coordination.ErrProgramTooOld) {
 		_, _ = disk.Close(), ln.Close()
 		return nil, fmt.Errorf("peers: dir: %w", err)
 	}
@@ -159,7 +159,7 @@
 		}
 	}()
 	if _, lost := ev.(coordination.DiskLost); n.disk == nil && !lost {
-		if _, back := ev.(coordination.DiskBack); !back {
+		if _, back := ev.(coordination.DiskRestored); !back {
 			n.reopen()
 		}
 	}
@@ -172,7 +172,7 @@
 			return
 		}
 	}
-	n.foreign.Store(n.council.Foreign)
+	n.foreign.Store(n.council.RejectedMessages)
 }
 
 // reopen opens the disk again, now and then, after it had failed.
@@ -190,8 +190,8 @@
 	n.step(back(disk))
 }
 
-func back(d *consensus.Disk) coordination.DiskBack {
-	return coordination.DiskBack{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
+func back(d *consensus.Disk) coordination.DiskRestored {
+	return coordination.DiskRestored{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
 }
 
 // renew sets the disk aside and goes on under a new identity.
@@ -217,14 +217,14 @@
 			return nil // the council has no log then
 		}
 		return n.disk.Write(e.Write)
-	case coordination.Keep:
+	case coordination.PersistRecord:
 		if n.disk == nil {
 			return nil
 		}
 		return n.disk.Keep(e.Note)
 	case coordination.Send:
 		n.send(e)
-	case coordination.Facts:
+	case coordination.Restrictions:
 		n.tell(e)
 	case coordination.Reply:
 		n.mu.Lock()
@@ -234,8 +234,8 @@
 		}
 		n.mu.Unlock()
 	case coordination.Retire:
-		n.renew(e.Why)
-	case coordination.Left:
+		n.renew(e.Reason)
+	case coordination.LeaveComplete:
 		close(n.left)
 	case coordination.Log:
 		log.Print("peers: " + e.Text)
@@ -268,8 +268,8 @@
 }
 
 // tell hands the facts to the reducer, by the machines' numbers.
-func (n *Node) tell(e coordination.Facts) {
-	f := fencing.Facts[lg.ServerID]{Index: e.Index, Until: e.Until, Grace: e.Grace}
+func (n *Node) tell(e coordination.Restrictions) {
+	f := fencing.Restrictions[lg.ServerID]{Index: e.Index, LeaseUntil: e.LeaseUntil, Grace: e.Grace}
 	names := map[lg.ServerID]string{}
 	own := uint64(0)
 	for _, m := range e.Marked {
@@ -297,7 +297,7 @@
 // Stopped takes what the reducer says.
 // Own is the grant by which this proxy's own machine goes out and nothing is open here any more; 0: it isn't.
 func (n *Node) Stopped(index uint64, clear []fencing.Mark[lg.ServerID], own uint64) {
-	ev := coordination.Stopped{Index: index}
+	ev := coordination.RestrictionsApplied{Index: index}
 	if own > 0 {
 		ev.Clear = append(ev.Clear, maintenance.Mark{Machine: maintenance.ProxyID(n.name), Grant: own})
 	}
@@ -356,7 +356,7 @@
 		go func() {
 			err := take(conn, func(raw []byte) {
 				n.heard.Add(uint64(len(raw)))
-				n.post(coordination.Received{Raw: raw})
+				n.post(coordination.MessageReceived{Raw: raw})
 			})
 			if other := net.Error(nil); err != nil && !errors.As(err, &other) && !errors.Is(err, net.ErrClosed) {
 				n.garbled.Add(1)
@@ -377,7 +377,7 @@
 	token := n.token
 	n.waits[token] = c
 	n.mu.Unlock()
-	n.post(coordination.Asked{Token: token, Call: call})
+	n.post(coordination.CallReceived{Token: token, Call: call})
 	timer := time.NewTimer(answerFor)
 	defer timer.Stop()
 	select {
@@ -428,7 +428,7 @@
 	case a.ID == "" || len(a.ID) > 128:
 		return []byte("-ERR id: not set, or over 128 bytes\n")
 	case a.Do == "status", a.Do == "state":
-		call.Status, call.Whole = true, a.Do == "state"
+		call.Status, call.FullState = true, a.Do == "state"
 	case a.Do == "submit":
 		if a.Order == nil {
 			return []byte("-ERR order: not set\n")
@@ -447,7 +447,7 @@
 	switch {
 	case answer.Err != "":
 		return []byte("-ERR " + strings.ReplaceAll(answer.Err, "\n", " ") + "\n")
-	case call.Whole:
+	case call.FullState:
 		return []byte("+OK\n" + base64.StdEncoding.EncodeToString(answer.State) + "\n.\n")
 	case call.Status:
 		here := fmt.Sprintf("here %s sent %d heard %d bytes, not understood %d messages and %d connections\n",
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -65,8 +65,8 @@
 		ReplaceAfter: time.Minute}
 	began, leased := time.Now(), make(chan bool, 1)
 	n, err := Start(cfg, Options{Name: "n0", Now: func() time.Duration { return time.Since(began) },
-		ID: func(string) lg.ServerID { return 1 }, Facts: func(f fencing.Facts[lg.ServerID], _ uint64) {
-			if f.Until > 0 {
+		ID: func(string) lg.ServerID { return 1 }, Facts: func(f fencing.Restrictions[lg.ServerID], _ uint64) {
+			if f.LeaseUntil > 0 {
 				select {
 				case leased <- true:
 				default:
--- a/internal/reducer/hops.go
+++ b/internal/reducer/hops.go
@@ -144,7 +144,7 @@
 	e := Effect{Do: Forward, Leg: LegID(l.ID), Client: b.req.caller.id, Payload: b.req.payload, At: at,
 		Begin: b.begin}
 	if s.work != nil {
-		if until := s.work.set.Until(l.Hop.ID); until > 0 && (e.Begin == 0 || until < e.Begin) {
+		if until := s.work.set.LeaseUntil(l.Hop.ID); until > 0 && (e.Begin == 0 || until < e.Begin) {
 			e.Begin = until
 		}
 	}
--- a/internal/reducer/work.go
+++ b/internal/reducer/work.go
@@ -15,7 +15,7 @@
 // Settled brings what the proxies have settled among themselves about machines that are taken out for work.
 // Own is the grant by which this proxy's own machine is to go out; 0: it isn't.
 type Settled struct {
-	Facts fencing.Facts[lg.ServerID]
+	Facts fencing.Restrictions[lg.ServerID]
 	Own   uint64
 }
 
@@ -31,7 +31,7 @@
 
 // work is the machines that other proxies, too, take out for work. With no peers there is none.
 type work struct {
-	set    *fencing.Set[lg.ServerID]
+	set    *fencing.Fence[lg.ServerID]
 	listed map[lg.ServerID]lg.Server // as discovery lists them
 	held   map[lg.ServerID]bool      // what the module and the pool were told to be draining for it
 	told   Stopped                   // last
@@ -65,7 +65,7 @@
 			continue
 		}
 		w.listed[l.ID] = l
-		if w.held[l.ID] = w.set.Holds(l.ID); w.held[l.ID] && l.State == lg.Ready {
+		if w.held[l.ID] = w.set.Blocks(l.ID); w.held[l.ID] && l.State == lg.Ready {
 			list.Servers[i].State = lg.Draining
 		}
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	w := s.work
-	w.set.Told(ev.Facts)
+	w.set.Update(ev.Facts)
 	if ev.Own != w.own {
 		begins := w.own == 0
 		if w.own, w.closed = ev.Own, false; begins {
@@ -111,14 +111,14 @@
 // its lease must not begin anything at a machine that may be out by now, whatever it was just doing.
 func (s *State) lookWork() {
 	w := s.work
-	changed, cut := w.set.At(s.now)
+	changed, cut := w.set.Advance(s.now)
 	if changed {
 		s.rehold()
 	}
 	if cut {
 		s.cutNamed()
 	}
-	if due := w.set.Due(); due > 0 && due != w.due && due < 1<<62 {
+	if due := w.set.NextDeadline(); due > 0 && due != w.due && due < 1<<62 {
 		w.due = due
 		s.clock.add(due, s.lookWork)
 	}
@@ -129,7 +129,7 @@
 	w := s.work
 	var news []lg.Server
 	for _, l := range inOrder(w.listed) {
-		if hold := w.set.Holds(l.ID); hold != w.held[l.ID] {
+		if hold := w.set.Blocks(l.ID); hold != w.held[l.ID] {
 			if w.held[l.ID] = hold; hold && l.State == lg.Ready {
 				l.State = lg.Draining
 			}
@@ -181,7 +181,7 @@
 // stopped tells the council how far this proxy has got, when that has changed.
 func (s *State) stopped() {
 	w := s.work
-	now := Stopped{Index: w.set.Index(), Clear: w.set.Clear(s.openAt)}
+	now := Stopped{Index: w.set.Index(), Clear: w.set.ClearMarks(s.openAt)}
 	if w.closed {
 		now.Own = w.own
 	}
@@ -190,7 +190,7 @@
 		s.do(Effect{Do: Stop, Payload: now})
 	}
 	// What is clear stays so while it is marked, for days where it failed: nothing is opened there.
-	if len(now.Clear) < w.set.Marks() && !w.polled {
+	if len(now.Clear) < w.set.MarkCount() && !w.polled {
 		w.polled = true
 		s.clock.add(s.now+stopEvery, func() {
 			w.polled = false
--- a/internal/reducer/work_test.go
+++ b/internal/reducer/work_test.go
@@ -56,7 +56,7 @@
 	if s.Ready() || s.reaches(step, 1, now, &leg) {
 		t.Error("served before the first lease")
 	}
-	f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
+	f := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, LeaseUntil: now + 3*time.Second,
 		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
 	step(Settled{Facts: f}, now)
 	if !s.Ready() || s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
@@ -72,7 +72,7 @@
 	if s.reaches(step, 2, now, &leg) || !s.reaches(step, 3, now, &leg) {
 		t.Error("a paused process begins at a machine that may be out")
 	}
-	f.Index, f.Marked, f.Named, f.Until = 4, nil, nil, now+3*time.Second
+	f.Index, f.Marked, f.Named, f.LeaseUntil = 4, nil, nil, now+3*time.Second
 	step(Settled{Facts: f}, now)
 	if !s.reaches(step, 1, now, &leg) || !s.reaches(step, 2, now, &leg) {
 		t.Error("not sent to again")
@@ -85,8 +85,8 @@
 	for _, tc := range []struct{ relist, lapse bool }{{false, false}, {true, false}, {false, true}} {
 		s, step := settleWork(t)
 		now := time.Hour
-		f := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
-			Grace: time.Second}
+		f := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3},
+			LeaseUntil: now + time.Second, Grace: time.Second}
 		step(Settled{Facts: f}, now)
 		step(CallerOpened{1}, now)
 		var at lg.ServerID
@@ -138,7 +138,7 @@
 func TestOwnMachineGoesOut(t *testing.T) {
 	s, step := settleWork(t)
 	now := time.Hour
-	f := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
+	f := fencing.Restrictions[lg.ServerID]{Index: 3, LeaseUntil: now + time.Minute, Grace: time.Second}
 	step(Settled{Facts: f}, now)
 	step(CallerOpened{1}, now)
 	step(CallerOpened{2}, now)
@@ -196,7 +196,8 @@
 	if s.work != nil {
 		t.Error("there is something to look at")
 	}
-	for _, e := range s.Step(time.Hour, Settled{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
+	for _, e := range s.Step(time.Hour,
+		Settled{Facts: fencing.Restrictions[lg.ServerID]{Index: 1, LeaseUntil: 1}}) {
 		if e.Do == Stop {
 			t.Error("facts were taken in")
 		}
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -97,7 +97,7 @@
 	easing   struct{ leg *leg }
 	allTold  struct{}
 	settled  struct {
-		facts fencing.Facts[lg.ServerID]
+		facts fencing.Restrictions[lg.ServerID]
 		own   uint64
 	}
 	failed struct{ err error }
--- a/internal/transport/work.go
+++ b/internal/transport/work.go
@@ -29,7 +29,7 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.set.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(f fencing.Facts[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
+		Facts: func(f fencing.Restrictions[lg.ServerID], own uint64) { p.inbox.post(settled{f, own}) }})
 	return err
 }
 
@@ -73,15 +73,15 @@
 		now.handled += h.Passed + h.Dropped + h.BadGateway
 		now.refused += h.Dropped
 	}
-	l := coordination.Load{Handled: now.handled - p.loads.handled, Refused: now.refused - p.loads.refused}
+	l := coordination.Load{Handled: now.handled - p.loads.handled, Shed: now.refused - p.loads.refused}
 	for _, r := range f.Rooms {
-		l.Busy += float64(r.Out)
+		l.InFlight += float64(r.Out)
 		name, ok := now.names[r.Server]
 		if r.Aside && ok {
-			l.Avoids = append(l.Avoids, name)
+			l.Ejected = append(l.Ejected, name)
 		}
 		if ok {
-			l.Rooms = append(l.Rooms, coordination.Room{Machine: name, Most: r.Most})
+			l.Capacities = append(l.Capacities, coordination.Capacity{Machine: name, Requests: r.Most})
 		}
 	}
 	for _, id := range f.Hot {
