--- a/internal/coordination/bootstrap.go
+++ b/internal/coordination/bootstrap.go
@@ -9,58 +9,60 @@
 )
 
 const (
-	helloEvery = 500 * time.Millisecond
-	helloFresh = 3 * time.Second // an answer counts for the founding so long
+	helloInterval = 500 * time.Millisecond // interval between two Hellos
+	helloMaxAge   = 3 * time.Second        // maximum age of a blank peer's Hello at the bootstrap
 )
 
-// founding begins the log, once all founders are there and none knows of one. Guards against a second log:
-// a founder that has lost its disk hears from the others that there is one, and is taken in anew.
-func (c *Coordinator) founding() {
-	if c.now < c.helloAt {
+// bootstrap creates the log once all initial voters are reachable and none knows of a log. This prevents
+// a second log: an initial voter that has lost its disk learns from the others that a log exists, and is
+// added to it.
+func (c *Coordinator) bootstrap() {
+	if c.now < c.nextHello {
 		return
 	}
-	c.helloAt = c.now + helloEvery
-	if c.held && c.core != nil {
-		c.mayVote()
+	c.nextHello = c.now + helloInterval
+	if c.votingHeld && c.core != nil {
+		c.resumeVoting()
 	}
-	if !c.blankNow() || !slices.Contains(c.cfg.InitialVoters, c.cfg.Name) {
+	if !c.isBlank() || !slices.Contains(c.cfg.InitialVoters, c.cfg.Name) {
 		return
 	}
-	all := true
-	for _, f := range c.cfg.InitialVoters {
-		if f == c.cfg.Name {
+	allBlank := true
+	for _, name := range c.cfg.InitialVoters {
+		if name == c.cfg.Name {
 			continue
 		}
-		c.send(f, "", &Envelope{Hello: &Hello{Blank: true, WantReply: true}})
-		at, ok := c.blank[f]
-		all = all && ok && c.now-at < helloFresh
+		c.send(name, "", &Envelope{Hello: &Hello{Blank: true, WantReply: true}})
+		at, ok := c.blankAt[name]
+		allBlank = allBlank && ok && c.now-at < helloMaxAge
 	}
-	if !all || c.cfg.InitialVoters[0] != c.cfg.Name {
+	if !allBlank || c.cfg.InitialVoters[0] != c.cfg.Name {
 		return
 	}
-	c.adopt(c.rng.Uint64() | 1)
+	c.adoptCluster(c.rng.Uint64() | 1)
 	self := Voter{c.cfg.ID, c.cfg.Name, c.cfg.Addr}
-	c.rep.Voters[self.ID] = self
-	if err := c.core.Found(maintenance.Encode(founding{c.cluster, []Voter{self}})); err != nil {
-		c.do(Log{"founding: " + err.Error()})
+	c.replica.Voters[self.ID] = self
+	if err := c.core.Found(maintenance.Encode(voterChange{c.cluster, []Voter{self}})); err != nil {
+		c.emit(Log{"founding: " + err.Error()})
 		return
 	}
-	c.do(Log{"the founders have found each other: the log begins"})
+	c.emit(Log{"all initial voters are reachable: the log is created"})
 }
 
-// blankNow tells whether this proxy has never been part of a log.
-func (c *Coordinator) blankNow() bool {
+// isBlank reports whether this proxy has never been part of a log.
+func (c *Coordinator) isBlank() bool {
 	return c.core != nil && c.cluster == 0 && c.core.Applied() == 0 && len(c.core.Voters()) == 0
 }
 
-func (c *Coordinator) hello(e *Envelope) {
+// handleHello handles a Hello, and answers it if a reply is requested.
+func (c *Coordinator) handleHello(e *Envelope) {
 	h := e.Hello
 	if h.Blank && e.Cluster == 0 {
-		c.blank[e.From] = c.now
+		c.blankAt[e.From] = c.now
 	} else {
-		delete(c.blank, e.From)
+		delete(c.blankAt, e.From)
 	}
-	if h.ForID != 0 && h.ForID == c.cfg.ID && !c.sameStart(e) {
+	if h.ForID != 0 && h.ForID == c.cfg.ID && !c.checkBoot(e) {
 		return
 	}
 	if h.WantReply {
@@ -68,33 +70,34 @@
 	}
 }
 
-// sameStart takes what a peer knows of this identity, and retires it if it has forgotten any of that.
-func (c *Coordinator) sameStart(e *Envelope) bool {
+// checkBoot compares this identity with what a peer knows of it, and retires the identity if its disk is
+// older. It reports whether the identity is still valid.
+func (c *Coordinator) checkBoot(e *Envelope) bool {
 	h := e.Hello
 	if h.LatestBoot > c.cfg.Boot && c.cfg.Disabled != CompareBoots {
-		c.retire(fmt.Sprintf("the disk is older than what %s knows of it (start %d, not %d)", e.From, h.LatestBoot,
-			c.cfg.Boot))
+		c.retireIdentity(fmt.Sprintf("the disk is older than what %s knows of it (start %d, not %d)", e.From,
+			h.LatestBoot, c.cfg.Boot))
 		return false
 	}
 	if last := c.lastIndex(); h.Match > last {
-		c.retire(fmt.Sprintf("the disk is older than what the leader knows of it (entry %d, not %d)", h.Match,
-			last))
+		c.retireIdentity(fmt.Sprintf("the disk is older than what the leader knows of it (entry %d, not %d)",
+			h.Match, last))
 		return false
 	}
-	if h.Leader == "" || h.Leader == e.From { // else the leader's own answer counts
-		c.agreed[e.From] = true
+	if h.Leader == "" || h.Leader == e.From { // otherwise the leader's own reply decides
+		c.bootConfirmed[e.From] = true
 	}
 	return true
 }
 
-// answerHello tells a peer what is known of its identity.
+// answerHello tells a peer what this proxy knows of the peer's identity.
 func (c *Coordinator) answerHello(e *Envelope) {
-	seen := c.table.LatestBoot(e.ID)
-	if b := c.rep.Work.Boots[e.From]; b.ID == e.ID {
-		seen = max(seen, b.Boot)
+	latestBoot := c.table.LatestBoot(e.ID)
+	if b := c.replica.Maintenance.Boots[e.From]; b.ID == e.ID {
+		latestBoot = max(latestBoot, b.Boot)
 	}
-	a := &Hello{Blank: c.blankNow(), LatestBoot: seen, ForID: e.ID}
-	if c.core != nil && !c.held {
+	a := &Hello{Blank: c.isBlank(), LatestBoot: latestBoot, ForID: e.ID}
+	if c.core != nil && !c.votingHeld {
 		if leader, ok := c.leader(); ok {
 			a.Leader = leader.Name
 		}
@@ -103,20 +106,21 @@
 	c.send(e.From, e.Addr, &Envelope{Hello: a})
 }
 
-// mayVote lets a voter that has started vote again, once enough others know no later start of it. Guards
-// against an older copy of its disk: it would have forgotten votes that it gave.
-func (c *Coordinator) mayVote() {
+// resumeVoting lets a restarted voter vote again once enough other voters know of no later start of its
+// identity. Otherwise a voter with an older copy of its disk could vote, although the copy lacks votes
+// that it has cast.
+func (c *Coordinator) resumeVoting() {
 	voters := c.core.Voters()
 	others := 0
 	for _, id := range voters {
-		v, ok := c.voter(id)
+		v, ok := c.voterByID(id)
 		if !ok || id == c.cfg.ID {
 			continue
 		}
 		others++
 		c.send(v.Name, v.Addr, &Envelope{Hello: &Hello{WantReply: true}})
 	}
-	if len(c.agreed) >= min(others, len(voters)/2) {
-		c.held = false
+	if len(c.bootConfirmed) >= min(others, len(voters)/2) {
+		c.votingHeld = false
 	}
 }
--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -1,7 +1,7 @@
-// Package coordination is one proxy's part among the proxies that talk to each other: the lease without which
-// it begins nothing at machines that may be out for work, its part in the log that a few of them agree on,
-// and operators' calls. It is pure: State, absolute time and event in, effects out, to be done in their
-// order.
+// Package coordination implements one proxy's part in the coordination group of proxies: the lease
+// without which it sends no new requests to machines that may be out for maintenance, its role in the
+// replicated log that a few voters agree on, and operators' calls. It is pure: it takes the state, an
+// absolute time and an event, and returns effects, which the driver executes in their order.
 package coordination
 
 import (
@@ -14,82 +14,86 @@
 	"lilacglade/internal/membership"
 )
 
-// TickEvery is the time between two Ticks.
+// TickEvery is the interval between two Ticks.
 const TickEvery = 100 * time.Millisecond
 
-// Config is what a Council knows from its start on.
+// Config is the configuration of a Coordinator, fixed from its start.
 type Config struct {
 	Name          string
-	Incarnation   uint64 // this process; never used twice
-	Addr          string // where it listens to its peers
+	Incarnation   uint64 // identifies this process; never reused
+	Addr          string // address on which it listens for its peers
 	InitialVoters []string
-	Peers         []string      // all that the configuration names, without this one
-	Grace         time.Duration // the longest that a request may take
+	Peers         []string      // all configured peers, without this proxy
+	Grace         time.Duration // longest time that a request may take
 	Seed          uint64
-	// ReplaceAfter: a voter that is not heard for so long loses its vote to another proxy
+	// ReplaceAfter is the time without a message after which a voter loses its vote to another proxy.
 	ReplaceAfter time.Duration
-	WarmAfter    time.Duration // a machine that came back is done then
-	AloneAfter   time.Duration // without a lease the proxy serves after this, against the promise; 0: never
-	// what this program understands; 0: maintenance.LevelNow. For plays of two versions
+	WarmAfter    time.Duration // time after which a machine that has returned counts as done
+	// AloneAfter is the time without a lease after which the proxy serves all machines nevertheless, although
+	// it can't know which of them are out for maintenance; 0: never.
+	AloneAfter time.Duration
+	// Level is the protocol level of this program; 0: LevelNow. Only simulations of two versions set it.
 	Level uint64
 
-	Disabled SafetyCheck // taken out; for plays that show what it guards against
+	Disabled SafetyCheck // check that a simulation disables, to show what it prevents
 
-	ID, Boot uint64 // of the disk
+	ID, Boot uint64 // identity on the disk, and the number of its current start
 	Saved    consensus.Saved
 	Note     []byte
 }
 
-// SafetyCheck is one that a play can take out.
+// SafetyCheck is a check that a simulation can disable.
 type SafetyCheck uint8
 
-// The guards.
+// The safety checks, each with what happens while it is disabled.
 const (
 	None              SafetyCheck = iota
-	ConfirmLeadership             // a leader answers renewals without asking a majority
-	LeadWait                      // a new leader takes it that nobody has a lease of the one before
-	LeaseWait                     // a lease counts as over once it is not renewed in time
-	GraceWait                     // and what was open then as over, too
-	LeaseFromSendTime             // a lease counts from when it came, not from when it was asked for
-	CompareBoots                  // an older disk votes
-	ReportResumeIndex             // a party that goes on by its disk's knowledge doesn't say so
-	LevelWait                     // what older programs don't understand is proposed all the same
+	ConfirmLeadership             // a leader answers renewals without confirmation by a majority
+	LeadWait                      // a new leader assumes that the previous leader's leases have expired
+	LeaseWait                     // a lease counts as expired as soon as one renewal is late
+	GraceWait                     // requests open at the end of a lease count as completed at once
+	LeaseFromSendTime             // a lease counts from the arrival of the answer, not from the request
+	CompareBoots                  // an older copy of a disk may vote
+	ReportResumeIndex             // a participant that resumes from its durable record does not report it
+	LevelWait                     // entries that older programs don't understand are proposed
 )
 
-// Coordinator is the state. New makes one; one goroutine owns it.
+// Coordinator is the state of one proxy in the coordination group. New creates it. It is not safe for
+// concurrent use.
 type Coordinator struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	out     []Effect
-	local   [][]byte // messages to itself
-	table   *membership.Table
-	core    *consensus.Core // nil while there is no disk
-	rep     *replica
-	cluster uint64
-	held    bool // a voter that has started may not vote yet
-	blank   map[string]time.Duration
-	helloAt time.Duration
-	agreed  map[string]bool // peers that know no later start of this identity
-	resume  *DurableRecord  // what an earlier process here has said that it knows; nil: nothing is known of it
-	from    uint64          // index of it, for good
-	kept    bool            // the disk has, or is about to have, what there is to keep
-
-	party  party
-	lead   lead
-	calls  map[string]*pending
-	seen   map[string]maintenance.Seen // the machines as discovery lists them
-	seenAt time.Duration
-
-	RejectedMessages uint64 // messages that were not understood, or not for this one
+	cfg           Config
+	rng           *rand.Rand
+	now           time.Duration
+	effects       []Effect
+	selfMessages  [][]byte // encoded messages to itself
+	table         *membership.Table
+	core          *consensus.Core // nil while the disk is unavailable
+	replica       *replica
+	cluster       uint64
+	votingHeld    bool                     // a restarted voter may not vote yet
+	blankAt       map[string]time.Duration // time of the last Hello from each blank peer
+	nextHello     time.Duration
+	bootConfirmed map[string]bool // peers that know of no later start of this identity
+	resumeRecord  *DurableRecord  // record of an earlier process on this disk, if any
+	resumeIndex   uint64          // index of that record; kept when resumeRecord is cleared
+	recordWritten bool            // the record is up to date on the disk, or an earlier effect writes it
+
+	participant  participant
+	leadership   leadership
+	pendingCalls map[string]*pendingCall
+	inventory    map[string]maintenance.Seen // machines by ID, as discovery lists them
+	inventoryAt  time.Duration
+
+	// RejectedMessages counts messages that could not be decoded or were not meant for this proxy.
+	RejectedMessages uint64
 }
 
-// New returns a Council.
+// New returns a Coordinator with the state loaded from the disk.
 func New(cfg Config) (*Coordinator, error) {
 	c := &Coordinator{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)),
-		table: membership.New(cfg.ReplaceAfter), blank: map[string]time.Duration{},
-		calls: map[string]*pending{}, agreed: map[string]bool{}}
-	c.party = party{sentAt: map[uint64]time.Duration{}, every: joinEvery}
+		table: membership.New(cfg.ReplaceAfter), blankAt: map[string]time.Duration{},
+		pendingCalls: map[string]*pendingCall{}, bootConfirmed: map[string]bool{}}
+	c.participant = participant{sentAt: map[uint64]time.Duration{}, renewInterval: joinInterval}
 	c.cfg.Level = cmp.Or(cfg.Level, maintenance.LevelNow)
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
 		return c, err
@@ -97,68 +101,70 @@
 	var n DurableRecord
 	if len(cfg.Note) > 0 && maintenance.Decode(cfg.Note, &n) == nil && n.Index > 0 &&
 		c.cfg.Level >= maintenance.LevelResume {
-		c.resume, c.from = &n, n.Index
+		c.resumeRecord, c.resumeIndex = &n, n.Index
 	}
 	return c, nil
 }
 
-// Step takes one event at the given time. The slice is used again by the next call.
+// Step handles one event at the given time. The next call reuses the returned slice.
 func (c *Coordinator) Step(now time.Duration, ev Event) []Effect {
 	c.now = max(c.now, now)
-	c.out = c.out[:0]
-	c.take(ev)
-	c.settle()
-	c.tell()
-	return c.out
+	c.effects = c.effects[:0]
+	c.handle(ev)
+	c.processOutputs()
+	c.publishRestrictions()
+	return c.effects
 }
 
-func (c *Coordinator) do(e Effect) { c.out = append(c.out, e) }
+// emit appends an effect to the result of Step.
+func (c *Coordinator) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Coordinator) take(ev Event) {
+func (c *Coordinator) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Tick:
 		c.tick()
 	case MessageReceived:
-		c.received(ev.Raw)
+		c.handleMessage(ev.Raw)
 	case CallReceived:
-		c.ask(ev)
+		c.startCall(ev)
 	case RestrictionsApplied:
-		c.stopped(ev)
+		c.handleRestrictionsApplied(ev)
 	case Inventory:
-		c.listed(ev.Machines)
+		c.setInventory(ev.Machines)
 	case Load:
-		c.party.load(c.now, ev)
+		c.participant.addLoad(c.now, ev)
 	case Leaving:
-		c.leave()
+		c.startLeaving()
 	case DiskLost:
 		c.diskLost()
 	case DiskRestored:
-		c.diskBack(ev)
+		c.diskRestored(ev)
 	}
 }
 
-// tick does what is due by time.
+// tick performs the periodic work.
 func (c *Coordinator) tick() {
-	if c.party.began == 0 {
-		c.party.began = max(1, c.now)
+	if c.participant.startedAt == 0 {
+		c.participant.startedAt = max(1, c.now)
 	}
-	c.founding()
-	if c.core != nil && !c.held {
+	c.bootstrap()
+	if c.core != nil && !c.votingHeld {
 		c.core.Tick()
 	}
-	c.watchLead()
-	if c.leads() {
-		c.steer()
+	c.trackLeadership()
+	if c.isLeader() {
+		c.manageVoters()
 	}
 	c.renew()
-	c.passAgain()
+	c.retryCalls()
 }
 
-// Maintenance is the state that this proxy holds of the log; it lags behind the leader's. Nobody changes it.
-func (c *Coordinator) Maintenance() *maintenance.State { return c.rep.Work }
+// Maintenance returns this proxy's replica of the maintenance state. It may lag behind the leader's and
+// must not be modified.
+func (c *Coordinator) Maintenance() *maintenance.State { return c.replica.Maintenance }
 
-// IsLeader tells whether this proxy leads, as far as it knows.
-func (c *Coordinator) IsLeader() bool { return c.leads() }
+// IsLeader reports whether this proxy leads, as far as it knows.
+func (c *Coordinator) IsLeader() bool { return c.isLeader() }
 
-// Table is whom this proxy has heard.
+// Table returns the peers from which this proxy has received messages.
 func (c *Coordinator) Table() *membership.Table { return c.table }
--- a/internal/coordination/disk.go
+++ b/internal/coordination/disk.go
@@ -7,10 +7,10 @@
 	"lilacglade/internal/maintenance"
 )
 
-// load begins with what is on the disk.
+// load initializes the state from the disk's content.
 func (c *Coordinator) load(saved consensus.Saved, note []byte) error {
-	c.rep = &replica{Work: maintenance.New(), Voters: map[uint64]Voter{}}
-	c.lead = lead{}
+	c.replica = &replica{Maintenance: maintenance.New(), Voters: map[uint64]Voter{}}
+	c.leadership = leadership{}
 	if len(note) > 0 {
 		var n DurableRecord
 		if err := maintenance.Decode(note, &n); err != nil {
@@ -18,7 +18,7 @@
 		}
 		c.cluster = n.Cluster
 	}
-	c.kept = true
+	c.recordWritten = true
 	core, state, err := consensus.Open(c.cfg.ID, saved)
 	if err != nil {
 		return err
@@ -29,92 +29,94 @@
 		}
 	}
 	c.core = core
-	c.held = saved.Hard != nil && c.cfg.Boot > 1 && c.cfg.Disabled != CompareBoots
-	clear(c.agreed)
+	c.votingHeld = saved.Hard != nil && c.cfg.Boot > 1 && c.cfg.Disabled != CompareBoots
+	clear(c.bootConfirmed)
 	return nil
 }
 
+// install replaces the replica by a snapshot.
 func (c *Coordinator) install(state []byte) error {
-	rep := &replica{}
-	if err := maintenance.Decode(state, rep); err != nil {
+	restored := &replica{}
+	if err := maintenance.Decode(state, restored); err != nil {
 		return err
 	}
-	if rep.Work == nil {
+	if restored.Maintenance == nil {
 		return errors.New("a snapshot without a state")
 	}
-	rep.Work.Filled()
-	if rep.Work.Level > c.cfg.Level {
+	restored.Maintenance.Filled()
+	if restored.Maintenance.Level > c.cfg.Level {
 		return ErrProgramTooOld
 	}
-	if rep.Voters == nil {
-		rep.Voters = map[uint64]Voter{}
+	if restored.Voters == nil {
+		restored.Voters = map[uint64]Voter{}
 	}
-	c.rep = rep
+	c.replica = restored
 	return nil
 }
 
-// diskLost gives up the vote, since a write failed.
+// diskLost stops voting after a failed write.
 func (c *Coordinator) diskLost() {
-	c.core = nil // it votes no more until the disk is back, and goes on as a party
-	c.lead = lead{}
-	c.kept, c.party.toldOnce = false, false // what stood behind the write was not done
-	if c.party.leaving && !c.party.left {   // the disk still knows what it would go on by
-		c.party.left = true
-		c.do(LeaveComplete{})
+	c.core = nil // no vote until the disk is restored; it remains a participant
+	c.leadership = leadership{}
+	c.recordWritten, c.participant.publishedOnce = false, false // effects behind the failed write were skipped
+	if c.participant.leaving && !c.participant.left {           // the record to resume from could not be cleared
+		c.participant.left = true
+		c.emit(LeaveComplete{})
 	}
-	c.do(Log{"the disk can't be written: this proxy gives up its vote until it can"})
+	c.emit(Log{"the disk can't be written: this proxy gives up its vote until it can"})
 }
 
-// diskBack begins again with what is on a disk that can be written.
-func (c *Coordinator) diskBack(ev DiskRestored) {
+// diskRestored reloads the state from a disk that is writable again.
+func (c *Coordinator) diskRestored(ev DiskRestored) {
 	c.cfg.ID, c.cfg.Boot = ev.ID, ev.Boot
 	if err := c.load(ev.Saved, ev.Note); err != nil {
 		c.core = nil
-		c.do(Retire{err.Error()})
+		c.emit(Retire{err.Error()})
 		return
 	}
-	if c.party.index > 0 {
-		c.keep()
-		c.known()
+	if c.participant.index > 0 {
+		c.persistRecord()
+		c.updateKnownIndex()
 	}
 }
 
-// adopt makes this proxy part of a log for good.
-func (c *Coordinator) adopt(cluster uint64) {
+// adoptCluster makes this proxy a permanent member of a log's cluster.
+func (c *Coordinator) adoptCluster(cluster uint64) {
 	if c.cluster != cluster {
 		c.cluster = cluster
-		c.keep()
+		c.persistRecord()
 	}
 }
 
-// keep has the note kept. Guards against a party that says it knows what may go out, is killed, and goes on
-// without knowing it.
-func (c *Coordinator) keep() {
+// persistRecord writes the durable record. Otherwise a participant could report a state as known, be
+// killed, and resume without knowing which machines may go out.
+func (c *Coordinator) persistRecord() {
 	n := DurableRecord{Cluster: c.cluster}
-	switch p := &c.party; {
-	case p.leaving || p.level < maintenance.LevelResume && c.resume == nil:
-	case p.index == 0 && c.resume != nil: // nothing was heard yet: an earlier process's words still hold
-		n = *c.resume
+	switch p := &c.participant; {
+	case p.leaving || p.level < maintenance.LevelResume && c.resumeRecord == nil:
+	case p.index == 0 && c.resumeRecord != nil: // no state yet: the earlier process's record remains valid
+		n = *c.resumeRecord
 		n.Cluster = c.cluster
 	default:
 		n.Index, n.Named, n.Grace = p.index, p.named, p.grace
 	}
-	c.do(PersistRecord{maintenance.Encode(n)})
+	c.emit(PersistRecord{maintenance.Encode(n)})
 }
 
-// ErrProgramTooOld is of a log that this program is too old for.
-var ErrProgramTooOld = errors.New("all other proxies understand more than this program: it takes no part, and " +
-	"is not ready; start a later one")
+// ErrProgramTooOld says that the log contains entries that this program does not understand.
+var ErrProgramTooOld = errors.New("all other proxies understand more than this program: it takes no part, " +
+	"and is not ready; start a later one")
 
-// tooOld gives up the part in a log that this program does not understand.
-func (c *Coordinator) tooOld() {
-	c.core, c.lead, c.resume = nil, lead{}, nil
-	c.do(Log{ErrProgramTooOld.Error()})
+// abandonLog stops following a log whose entries this program does not understand.
+func (c *Coordinator) abandonLog() {
+	c.core, c.leadership, c.resumeRecord = nil, leadership{}, nil
+	c.emit(Log{ErrProgramTooOld.Error()})
 }
 
-func (c *Coordinator) retire(why string) {
+// retireIdentity gives up the identity on the disk; a new one follows with DiskRestored.
+func (c *Coordinator) retireIdentity(reason string) {
 	c.core = nil
-	c.lead = lead{}
-	c.cluster, c.resume = 0, nil
-	c.do(Retire{why})
+	c.leadership = leadership{}
+	c.cluster, c.resumeRecord = 0, nil
+	c.emit(Retire{reason})
 }
--- a/internal/coordination/effects.go
+++ b/internal/coordination/effects.go
@@ -7,37 +7,39 @@
 	"lilacglade/internal/maintenance"
 )
 
-// Effect is something to do: a Persist, Keep, Send, Facts, Reply, Retire, Left or Log. If a Persist or Keep
-// fails, what is behind it is not done, and DiskLost is told.
+// Effect is an action for the driver: a Persist, PersistRecord, Send, Restrictions, Reply, Retire,
+// LeaveComplete or Log. If a Persist or PersistRecord fails, the driver skips the effects behind it and
+// reports DiskLost.
 type Effect any
 
 type (
-	// Persist is to be on the disk, synced, before what comes behind it is done.
+	// Persist is written to the disk and synced before the effects behind it are executed.
 	Persist struct{ Write *consensus.Write }
-	// PersistRecord is the same for the note.
+	// PersistRecord is the same for the encoded DurableRecord.
 	PersistRecord struct{ Note []byte }
-	// Send has a message sent to a peer; it may be lost. Addr is where it listens, "" if only the name is known.
+	// Send sends a message to a peer; the message may be lost. Addr is the peer's address, or "" if only
+	// its name is known.
 	Send struct {
 		To, Addr string
 		Raw      []byte
 	}
-	// Restrictions tells the reducer what holds now.
+	// Restrictions tells the reducer to which machines this proxy may send.
 	Restrictions struct {
 		Index      uint64
-		Marked     []maintenance.Mark // nothing new there
-		Named      []string           // nothing new there from Until on, and nothing at all Grace later
-		LeaseUntil time.Duration      // on the clock of now; 0: no lease yet, nothing new anywhere
+		Marked     []maintenance.Mark // no new requests there
+		Named      []string           // no new requests there from LeaseUntil on, and no open ones Grace later
+		LeaseUntil time.Duration      // time on this proxy's clock; 0: no lease yet, no new requests anywhere
 		Grace      time.Duration
 	}
-	// Reply ends an Asked.
+	// Reply answers a CallReceived.
 	Reply struct {
 		Token  uint64
 		Answer Answer
 	}
-	// Retire wants the disk set aside and a new identity: DiskBack follows.
+	// Retire sets the disk's content aside and creates a new identity; DiskRestored follows.
 	Retire struct{ Reason string }
-	// LeaveComplete ends Leaving.
+	// LeaveComplete answers Leaving.
 	LeaveComplete struct{}
-	// Log is a line for the operator.
+	// Log is a log line for operators.
 	Log struct{ Text string }
 )
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -5,40 +5,42 @@
 	"lilacglade/internal/maintenance"
 )
 
-// Event is something that happened: a Tick, Received, Asked, Stopped, Inventory, Load, Leaving or DiskLost.
+// Event is a Tick, MessageReceived, CallReceived, RestrictionsApplied, Inventory, Load, Leaving, DiskLost
+// or DiskRestored.
 type Event interface{ event() }
 
 type (
-	// Tick is due every TickEvery.
+	// Tick occurs every TickEvery.
 	Tick struct{}
-	// MessageReceived brings a peer's message.
+	// MessageReceived is an encoded message from a peer.
 	MessageReceived struct{ Raw []byte }
-	// CallReceived brings an operators' call; Reply with the token follows.
+	// CallReceived is an operator's call; a Reply with the same token follows.
 	CallReceived struct {
 		Token uint64
 		Call  Call
 	}
-	// RestrictionsApplied says up to where the reducer keeps to the Facts, and that it has nothing at these machines, of
-	// these grants.
+	// RestrictionsApplied reports the index up to which the reducer enforces the Restrictions, and the
+	// marks of machines where it has nothing open.
 	RestrictionsApplied struct {
 		Index uint64
 		Clear []maintenance.Mark
 	}
-	// Inventory is the machines as discovery lists them now.
+	// Inventory is the current list of machines from discovery.
 	Inventory struct{ Machines []maintenance.Seen }
-	// Load counts requests since the last Load, those that are in work at machines now, and what was measured.
+	// Load counts the requests since the last Load and those in flight at machines now, and reports what
+	// the proxy measured of machines.
 	Load struct {
 		Handled, Shed uint64
 		InFlight      float64
-		Ejected       []string // machines that it has set aside
-		Hot           []string // machines where it sends a hot key
+		Ejected       []string // machines ejected by outlier detection
+		Hot           []string // machines to which it sends a hot key
 		Capacities    []Capacity
 	}
-	// Leaving says that the proxy has ended all it had open; Left follows.
+	// Leaving says that the proxy has nothing open any more and exits; LeaveComplete follows.
 	Leaving struct{}
-	// DiskLost says that a Write failed: nothing behind it was done.
+	// DiskLost says that a write failed and the effects behind it were skipped.
 	DiskLost struct{}
-	// DiskRestored says that the disk can be written again, and what is on it.
+	// DiskRestored says that the disk is writable again, with its content.
 	DiskRestored struct {
 		ID, Boot uint64
 		Saved    consensus.Saved
--- a/internal/coordination/exchange.go
+++ b/internal/coordination/exchange.go
@@ -5,7 +5,7 @@
 	"lilacglade/internal/membership"
 )
 
-// send has an envelope sent, to itself too.
+// send sends an envelope to a proxy, which may be this one.
 func (c *Coordinator) send(to, addr string, e *Envelope) {
 	e.Version, e.From, e.Incarnation, e.To = uint8(c.cfg.Level), c.cfg.Name, c.cfg.Incarnation, to
 	if e.Addr, e.Cluster = c.cfg.Addr, c.cluster; c.core != nil {
@@ -13,14 +13,15 @@
 	}
 	raw := maintenance.Encode(e)
 	if to == c.cfg.Name {
-		c.local = append(c.local, raw)
+		c.selfMessages = append(c.selfMessages, raw)
 		return
 	}
-	c.do(Send{to, addr, raw})
+	c.emit(Send{to, addr, raw})
 }
 
-// received takes a message. What is not understood, or from another log, is counted and changes nothing.
-func (c *Coordinator) received(raw []byte) {
+// handleMessage handles a message. A message that can't be decoded, or comes from another log, is counted
+// and otherwise ignored.
+func (c *Coordinator) handleMessage(raw []byte) {
 	var e Envelope
 	if err := maintenance.Decode(raw, &e); err != nil || e.Version < firstVersion || e.From == "" ||
 		e.Incarnation == 0 || e.To != c.cfg.Name {
@@ -33,7 +34,7 @@
 	}
 	own := e.From == c.cfg.Name
 	if own && e.Incarnation != c.cfg.Incarnation {
-		c.RejectedMessages++ // another process under this one's name
+		c.RejectedMessages++ // another process uses this proxy's name
 		return
 	}
 	if !own {
@@ -43,30 +44,31 @@
 			m.Blank = e.Hello.Blank
 		}
 		c.table.Observe(c.now, m)
-		if c.leads() {
-			c.lead.voterAt[e.ID] = c.now
+		if c.isLeader() {
+			c.leadership.voterHeardAt[e.ID] = c.now
 		}
 	}
 	switch {
 	case e.Hello != nil:
-		c.hello(&e)
+		c.handleHello(&e)
 	case len(e.Raft) > 0:
-		c.raft(&e)
+		c.handleRaft(&e)
 	case e.Renew != nil:
-		c.renewing(&e)
+		c.handleRenewal(&e)
 	case e.Lease != nil:
-		c.leased(&e)
+		c.handleLease(&e)
 	case e.Call != nil:
-		c.called(&e)
+		c.handleForwardedCall(&e)
 	case e.Answer != nil:
-		c.answered(e.Answer)
+		c.handleAnswer(e.Answer)
 	default:
 		c.RejectedMessages++
 	}
 }
 
-func (c *Coordinator) raft(e *Envelope) {
-	if c.core == nil || c.held {
+// handleRaft passes a message of the consensus protocol to the log.
+func (c *Coordinator) handleRaft(e *Envelope) {
+	if c.core == nil || c.votingHeld {
 		return
 	}
 	if e.Cluster == 0 {
@@ -74,7 +76,7 @@
 		return
 	}
 	if c.cluster == 0 {
-		c.adopt(e.Cluster)
+		c.adoptCluster(e.Cluster)
 	}
 	if err := c.core.Step(e.Raft); err != nil {
 		c.RejectedMessages++
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -8,156 +8,159 @@
 )
 
 const (
-	proposeAgain = time.Second
-	mostNotes    = 256 // of one entry
+	proposeRetryInterval = time.Second
+	maxNotes             = 256 // notes of one kind in one log entry
 )
 
-// lead is what a leader knows besides the log. It begins anew with each term.
-type lead struct {
-	term    uint64
-	since   time.Duration // this lead
-	renewed map[string]time.Duration
-	said    map[string]*said
-	joins   []maintenance.Command // parties that come and go, to be proposed
-	knows   []maintenance.Note
-	clears  []maintenance.Note
-	nonce   uint64 // of the proposal that is out; 0: none
-	propAt  time.Duration
-	want    []renewer // to be answered once a majority has confirmed the lead
-	reads   map[uint64]*reading
-	token   uint64
-	asked   []*asked                 // operators' calls to be proposed
-	open    []*asked                 // proposed
-	steps   map[string]stepped       // when each machine came to its step
-	voterAt map[uint64]time.Duration // when each voter was last heard
-	change  time.Duration            // when the voters were last to be changed
-	pushed  string                   // what the parties were told last
-	pushAt  uint64
-	rooms   map[string][]voice // of each machine, the latest last
+// leadership is a leader's volatile state. It is reset with each term.
+type leadership struct {
+	term            uint64
+	since           time.Duration            // start of this leadership
+	renewed         map[string]time.Duration // time of the last renewal of each participant
+	loads           map[string]*loadReport
+	joins           []maintenance.Command // participants that join or leave, to be proposed
+	knownNotes      []maintenance.Note
+	clearNotes      []maintenance.Note
+	nonce           uint64 // of the outstanding proposal; 0: none
+	proposedAt      time.Duration
+	waiters         []waiter // answered once a majority has confirmed the leadership
+	confirmations   map[uint64]*confirmation
+	lastToken       uint64
+	queuedCalls     []*leaderCall            // operators' calls that are not proposed yet
+	proposedCalls   []*leaderCall            // proposed, not applied yet
+	stepStarts      map[string]stepStart     // start of each machine's current step
+	voterHeardAt    map[uint64]time.Duration // time of the last message from each voter
+	votersChangedAt time.Duration            // last request to change the voters; 0: none outstanding
+	pushedState     string                   // encoded state that was last pushed to the participants
+	pushedIndex     uint64
+	capacities      map[string][]capacityReport // reports for each machine, the latest last
 }
 
-// stepped is when a machine came to a step.
-type stepped struct {
+// stepStart is the time at which a machine entered a step.
+type stepStart struct {
 	number uint64
 	at     time.Duration
 }
 
-// leads tells whether this proxy leads, as far as it knows.
-func (c *Coordinator) leads() bool {
-	return c.core != nil && c.lead.term != 0 && c.core.Leads() && c.lead.term == c.core.Term()
+// isLeader reports whether this proxy leads, as far as it knows.
+func (c *Coordinator) isLeader() bool {
+	return c.core != nil && c.leadership.term != 0 && c.core.Leads() && c.leadership.term == c.core.Term()
 }
 
-// leader is who leads, as far as this proxy's part in the log knows.
+// leader returns the leader as known from this proxy's own part in the log.
 func (c *Coordinator) leader() (v Voter, ok bool) {
 	if c.core == nil || c.core.Leader() == 0 {
 		return Voter{}, false
 	}
-	return c.voter(c.core.Leader())
+	return c.voterByID(c.core.Leader())
 }
 
-// watchLead notes when a lead begins. What counts from it begins later than the votes were given.
-func (c *Coordinator) watchLead() {
+// trackLeadership detects when a leadership starts or ends. It starts later than the votes were cast, so
+// times that count from it are on the safe side.
+func (c *Coordinator) trackLeadership() {
 	switch {
 	case c.core == nil || !c.core.Leads():
-		if c.lead.term != 0 {
-			c.lead = lead{}
+		if c.leadership.term != 0 {
+			c.leadership = leadership{}
 		}
-	case c.lead.term != c.core.Term():
-		c.lead = lead{term: c.core.Term(), since: c.now, renewed: map[string]time.Duration{},
-			said: map[string]*said{}, reads: map[uint64]*reading{}, steps: map[string]stepped{},
-			voterAt: map[uint64]time.Duration{}, rooms: map[string][]voice{}}
+	case c.leadership.term != c.core.Term():
+		c.leadership = leadership{term: c.core.Term(), since: c.now, renewed: map[string]time.Duration{},
+			loads: map[string]*loadReport{}, confirmations: map[uint64]*confirmation{},
+			stepStarts: map[string]stepStart{}, voterHeardAt: map[uint64]time.Duration{},
+			capacities: map[string][]capacityReport{}}
 		for _, id := range c.core.Voters() {
-			c.lead.voterAt[id] = c.now
+			c.leadership.voterHeardAt[id] = c.now
 		}
-		c.do(Log{fmt.Sprintf("leads from now on, in term %d", c.lead.term)})
+		c.emit(Log{fmt.Sprintf("leads from now on, in term %d", c.leadership.term)})
 	}
 }
 
-// propose has entries agreed on, one at a time, and the lead confirmed for those who wait for it. It tells
-// whether there is something new to be done.
+// propose proposes log entries, one at a time, and requests confirmation of the leadership for the
+// waiters. It reports whether there is new output to process.
 func (c *Coordinator) propose() bool {
-	l := &c.lead
-	did := false
-	if len(l.want) > 0 && len(l.reads) == 0 {
-		c.confirm()
-		did = true
+	l := &c.leadership
+	progressed := false
+	if len(l.waiters) > 0 && len(l.confirmations) == 0 {
+		c.confirmLeadership()
+		progressed = true
 	}
-	c.noteSteps()
-	c.push()
-	if l.nonce != 0 && c.now-l.propAt < proposeAgain {
-		return did
+	c.recordSteps()
+	c.pushState()
+	if l.nonce != 0 && c.now-l.proposedAt < proposeRetryInterval {
+		return progressed
 	}
 	b := batch{Nonce: c.rng.Uint64() | 1}
 	b.Commands = append(b.Commands, l.joins...)
-	if n := min(len(l.knows), mostNotes); n > 0 {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Know, Notes: l.knows[:n]})
+	if n := min(len(l.knownNotes), maxNotes); n > 0 {
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Know, Notes: l.knownNotes[:n]})
 	}
-	if n := min(len(l.clears), mostNotes); n > 0 {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Notes: l.clears[:n]})
+	if n := min(len(l.clearNotes), maxNotes); n > 0 {
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Notes: l.clearNotes[:n]})
 	}
-	for _, a := range l.asked {
+	for _, a := range l.queuedCalls {
 		b.Commands = append(b.Commands, *a.call.Command)
 	}
-	if level := c.understood(); level > max(maintenance.LevelFirst, c.rep.Work.Level) {
+	if level := c.commonLevel(); level > max(maintenance.LevelFirst, c.replica.Maintenance.Level) {
 		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Raise, Index: level})
 	}
-	if next := c.rep.Work.Next(c.view()); next.Kind != maintenance.Nothing {
+	if next := c.replica.Maintenance.Next(c.view()); next.Kind != maintenance.Nothing {
 		b.Commands = append(b.Commands, next)
 	}
 	if len(b.Commands) == 0 {
-		return did
+		return progressed
 	}
 	if err := c.core.Propose(maintenance.Encode(b)); err != nil {
-		return did // what is still wanted is proposed again
+		return progressed // whatever is still due is proposed again
 	}
-	l.joins, l.knows, l.clears = nil, nil, nil // what didn't fit is said again with the next renewals
-	l.open = append(l.open, l.asked...)
-	l.asked = nil
-	l.nonce, l.propAt = b.Nonce, c.now
+	l.joins, l.knownNotes, l.clearNotes = nil, nil, nil // the next renewals report the rest again
+	l.proposedCalls = append(l.proposedCalls, l.queuedCalls...)
+	l.queuedCalls = nil
+	l.nonce, l.proposedAt = b.Nonce, c.now
 	return true
 }
 
-// understood is the level that all voters and parties understand, as far as they were heard as they are now.
-// Guards against an entry that counts with some and is turned down by others: their states would differ.
-func (c *Coordinator) understood() uint64 {
+// commonLevel is the protocol level that all voters and participants understand, judged by the latest
+// messages of their current processes. Otherwise an entry would be applied by some and rejected by
+// others, and their states would diverge.
+func (c *Coordinator) commonLevel() uint64 {
 	if c.cfg.Disabled == LevelWait {
 		return maintenance.LevelNow
 	}
-	if len(c.rep.Voters) < len(c.cfg.InitialVoters) || c.core.Changing() {
-		return maintenance.LevelFirst // who gets a vote next may understand less
+	if len(c.replica.Voters) < len(c.cfg.InitialVoters) || c.core.Changing() {
+		return maintenance.LevelFirst // the next voter may have a lower level
 	}
-	least := c.cfg.Level
+	lowest := c.cfg.Level
 	level := func(name string, inc, id uint64) {
 		if name == c.cfg.Name {
 			return
 		}
 		if m := c.table.Get(name); m == nil || inc != 0 && m.Incarnation != inc || id != 0 && m.ID != id {
-			least = min(least, maintenance.LevelFirst)
+			lowest = min(lowest, maintenance.LevelFirst)
 		} else {
-			least = min(least, m.Level)
+			lowest = min(lowest, m.Level)
 		}
 	}
-	for _, p := range c.rep.Work.Parties {
+	for _, p := range c.replica.Maintenance.Parties {
 		if !p.Gone {
 			level(p.Name, p.Inc, 0)
 		}
 	}
-	for id, v := range c.rep.Voters {
+	for id, v := range c.replica.Voters {
 		level(v.Name, 0, id)
 	}
-	for _, j := range c.lead.joins {
+	for _, j := range c.leadership.joins {
 		if j.Party != nil {
 			level(j.Party.Name, j.Party.Inc, 0)
 		}
 	}
-	return least
+	return lowest
 }
 
-// noteSteps notes when machines came to their steps, on this leader's clock.
-func (c *Coordinator) noteSteps() {
-	for _, w := range c.rep.Work.Works {
-		if s := c.lead.steps[w.Machine.ID]; !w.Step.Ended() && s.number != w.Number {
-			c.lead.steps[w.Machine.ID] = stepped{w.Number, c.now}
+// recordSteps records on this leader's clock when machines enter a step.
+func (c *Coordinator) recordSteps() {
+	for _, w := range c.replica.Maintenance.Works {
+		if s := c.leadership.stepStarts[w.Machine.ID]; !w.Step.Ended() && s.number != w.Number {
+			c.leadership.stepStarts[w.Machine.ID] = stepStart{w.Number, c.now}
 		}
 	}
 }
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -8,101 +8,105 @@
 	"lilacglade/internal/maintenance"
 )
 
-// Times of leases, by the leader's clock.
+// Times of leases, on the leader's clock.
 const (
-	renewEvery = time.Second           // at least, between two renewals of a lease
-	renewPace  = 10 * time.Millisecond // all parties' renewals together leave the leader so much time each
-	leaseParts = 3                     // a lease lasts for so many renewals
-	deafAfter  = 4                     // who has heard no answer to so many gets none
-	drift      = 1.05                  // two clocks of which each is wrong by 2 in 100, and some
+	minRenewInterval      = time.Second           // minimum interval between two renewals of a lease
+	renewalSpacing        = 10 * time.Millisecond // minimum mean interval between all renewals at the leader
+	renewalsPerLease      = 3                     // duration of a lease in renewal intervals
+	maxUnansweredRenewals = 4                     // unanswered renewals after which a participant gets no lease
+	clockDriftFactor      = 1.05                  // covers two clocks that are each wrong by 2%, and a margin
 )
 
-// renewer is who waits until a majority has confirmed the lead: a party, or an operators' call for status.
-type renewer struct {
-	from  string
-	inc   uint64
-	renew *Renew
-	call  *asked // a status that is asked for
-	came  time.Duration
+// waiter waits until a majority has confirmed the leadership: a participant that renews its lease, or an
+// operator's status call.
+type waiter struct {
+	from       string
+	inc        uint64
+	renew      *Renew
+	call       *leaderCall // the status call; nil for a renewal
+	receivedAt time.Duration
 }
 
-// said is what a party said of itself with its last renewal.
-type said struct {
-	at               time.Duration
-	handled, refused uint64
-	avoids, hot      []string
-	busy             float64
+// loadReport is the load that a participant reported with its last renewal.
+type loadReport struct {
+	at            time.Duration
+	handled, shed uint64
+	ejected, hot  []string
+	inFlight      float64
 }
 
-// reading is a confirmation that was asked of a majority, and who waits for it.
-type reading struct {
-	index   uint64 // 0: not confirmed yet
-	waiting []renewer
+// confirmation is a request to a majority to confirm the leadership, and those who wait for it.
+type confirmation struct {
+	index   uint64 // log index at the confirmation; 0: not confirmed yet
+	waiters []waiter
 }
 
-// pace is how long a lease lasts, and how often it is renewed: by the most proxies that there ever were,
-// so that a leader's work has a bound, and no leader takes an earlier one's leases for shorter than they are.
-func (c *Coordinator) pace() (lasts, every time.Duration) {
-	every = max(renewEvery, time.Duration(c.rep.Work.Crowd)*renewPace)
-	return leaseParts * every, every
+// leaseTimes returns the duration of a lease and the interval of its renewals. Both follow from the
+// largest number of proxies that there ever was, so that a leader's load is bounded and no leader assumes
+// a shorter duration than an earlier leader granted.
+func (c *Coordinator) leaseTimes() (duration, interval time.Duration) {
+	interval = max(minRenewInterval, time.Duration(c.replica.Maintenance.Crowd)*renewalSpacing)
+	return renewalsPerLease * interval, interval
 }
 
-// expired tells whether a party has surely stopped by itself: its last lease has run out, and the longest
-// deadline has passed since.
-func (c *Coordinator) expired(key string) bool {
-	last := max(c.lead.since, c.lead.renewed[key])
-	lasts, every := c.pace()
-	grace := c.rep.Work.Grace
+// leaseExpired reports whether a participant has certainly stopped by itself: its last lease has expired,
+// and the longest request deadline has passed since.
+func (c *Coordinator) leaseExpired(key string) bool {
+	last := max(c.leadership.since, c.leadership.renewed[key])
+	duration, interval := c.leaseTimes()
+	grace := c.replica.Maintenance.Grace
 	switch c.cfg.Disabled {
 	case LeadWait:
-		last = c.lead.renewed[key]
+		last = c.leadership.renewed[key]
 	case LeaseWait:
-		lasts = every
+		duration = interval
 	case GraceWait:
 		grace = 0
 	}
-	return c.now-last > time.Duration(drift*float64(lasts+grace))+TickEvery
+	return c.now-last > time.Duration(clockDriftFactor*float64(duration+grace))+TickEvery
 }
 
-// renewing takes a party's renewal.
-func (c *Coordinator) renewing(e *Envelope) {
-	if !c.leads() {
-		c.refer(e)
+// handleRenewal handles a participant's renewal.
+func (c *Coordinator) handleRenewal(e *Envelope) {
+	if !c.isLeader() {
+		c.redirectRenewal(e)
 		return
 	}
-	if !c.mayRenew(e) {
+	if !c.admitRenewal(e) {
 		return
 	}
 	r, key := e.Renew, maintenance.Key(e.From, e.Incarnation)
-	c.lead.said[key] = &said{c.now, r.Handled, r.Shed, r.Ejected, r.Hot, r.InFlight}
-	c.measured(key, r.Capacities)
-	c.noteKnown(key, r.KnownIndex)
-	c.noteClear(key, r.Clear)
-	c.lead.want = append(c.lead.want, renewer{from: e.From, inc: e.Incarnation, renew: r, came: c.now})
+	c.leadership.loads[key] = &loadReport{c.now, r.Handled, r.Shed, r.Ejected, r.Hot, r.InFlight}
+	c.addCapacities(key, r.Capacities)
+	c.queueKnown(key, r.KnownIndex)
+	c.queueClear(key, r.Clear)
+	c.leadership.waiters = append(c.leadership.waiters, waiter{from: e.From, inc: e.Incarnation,
+		renew: r, receivedAt: c.now})
 	if c.cfg.Disabled == ConfirmLeadership {
-		c.lead.token++
-		c.lead.reads[c.lead.token] = &reading{index: 1, waiting: c.lead.want}
-		c.lead.want = nil
-		c.confirmed()
+		c.leadership.lastToken++
+		c.leadership.confirmations[c.leadership.lastToken] = &confirmation{index: 1, waiters: c.leadership.waiters}
+		c.leadership.waiters = nil
+		c.answerConfirmed()
 	}
 }
 
-// refer answers a renewal, at a proxy that doesn't lead, with who may.
-func (c *Coordinator) refer(e *Envelope) {
-	no := &Lease{Seq: e.Renew.Seq}
-	if c.party.until > c.now && c.party.hint != e.From {
-		no.Leader = c.party.hint // who was heard to lead lately
+// redirectRenewal answers a renewal at a proxy that doesn't lead, with the name of the probable leader.
+func (c *Coordinator) redirectRenewal(e *Envelope) {
+	answer := &Lease{Seq: e.Renew.Seq}
+	if c.participant.leaseUntil > c.now && c.participant.leaderHint != e.From {
+		answer.Leader = c.participant.leaderHint // the presumed leader, while this proxy has a lease
 	}
 	if leader, ok := c.leader(); ok {
-		no.Leader = leader.Name
+		answer.Leader = leader.Name
 	}
-	c.send(e.From, e.Addr, &Envelope{Lease: no})
+	c.send(e.From, e.Addr, &Envelope{Lease: answer})
 }
 
-// mayRenew tells whether a renewal is of a party that may have a lease. If not, it sees to what there is to
-// do instead: the party is taken in, or leaves, or is told why it gets none.
-func (c *Coordinator) mayRenew(e *Envelope) bool {
-	r, work := e.Renew, c.rep.Work
+// admitRenewal reports whether a renewal comes from a participant that may have a lease. Otherwise it
+// takes the necessary action: it queues the participant's joining or leaving, or answers why it gets no
+// lease.
+func (c *Coordinator) admitRenewal(e *Envelope) bool {
+	r, work := e.Renew, c.replica.Maintenance
 	p := work.Parties[maintenance.Key(e.From, e.Incarnation)]
 	answer := func(l *Lease) {
 		l.Seq, l.Leader = r.Seq, c.cfg.Name
@@ -112,136 +116,140 @@
 	case r.Leaving && p == nil:
 		answer(&Lease{Left: true})
 	case r.Leaving:
-		c.joining(maintenance.Command{Kind: maintenance.Leave, Name: e.From, Inc: e.Incarnation})
+		c.queueJoinOrLeave(maintenance.Command{Kind: maintenance.Leave, Name: e.From, Inc: e.Incarnation})
 	case p == nil && e.ID != 0 && b.ID == e.ID && b.Boot >= e.Boot:
 		answer(&Lease{Retire: true})
 	case uint64(e.Version) < work.Level:
-		answer(&Lease{Level: work.Level}) // it can't know what it would be told
+		answer(&Lease{Level: work.Level}) // it would not understand the state
 	case p == nil:
-		c.joining(c.joinOf(e))
+		c.queueJoinOrLeave(c.joinCommand(e))
 		answer(&Lease{})
-	case r.Seq > r.LastAnswered+deafAfter:
-		// Guards against leases that never arrive: who can be heard but hears nothing would hold every machine
-		// up for good, since its lease seems to go on.
+	case r.Seq > r.LastAnswered+maxUnansweredRenewals:
+		// A lease that never arrives must not count as granted: a participant whose messages arrive but
+		// that receives none would block every machine indefinitely, because its lease would seem to be
+		// renewed.
 		answer(&Lease{RenewNow: true})
 	case p.Gone:
-		answer(&Lease{}) // another process has its address
+		answer(&Lease{}) // another process has taken over its address
 	default:
 		return true
 	}
 	return false
 }
 
-// joinOf is the entry that takes in the party of a renewal.
-func (c *Coordinator) joinOf(e *Envelope) maintenance.Command {
+// joinCommand returns the command that adds the sender of a renewal as a participant.
+func (c *Coordinator) joinCommand(e *Envelope) maintenance.Command {
 	p := &maintenance.Party{Name: e.From, Inc: e.Incarnation, Addr: e.Addr, Grace: e.Renew.Grace,
 		ID: e.ID, Boot: e.Boot}
-	if e.Renew.ResumeIndex > 0 && c.rep.Work.Level >= maintenance.LevelResume {
+	if e.Renew.ResumeIndex > 0 && c.replica.Maintenance.Level >= maintenance.LevelResume {
 		p.Resumed, p.Knows = true, e.Renew.ResumeIndex
 	}
 	return maintenance.Command{Kind: maintenance.Join, Party: p}
 }
 
-// noteKnown has it agreed on that a party knows the state, where that is new for a machine in work.
-func (c *Coordinator) noteKnown(key string, knows uint64) {
-	p := c.rep.Work.Parties[key]
-	news := func(w *maintenance.Work) bool {
-		return !w.Step.Ended() && w.Named > p.Known() && w.Named <= knows
+// queueKnown queues a note that a participant knows the state, if that is new for a machine under
+// maintenance.
+func (c *Coordinator) queueKnown(key string, knownIndex uint64) {
+	p := c.replica.Maintenance.Parties[key]
+	isNew := func(w *maintenance.Work) bool {
+		return !w.Step.Ended() && w.Named > p.Known() && w.Named <= knownIndex
 	}
-	if slices.ContainsFunc(c.rep.Work.Works, news) {
-		c.lead.knows = append(c.lead.knows, maintenance.Note{Party: key, Index: knows})
+	if slices.ContainsFunc(c.replica.Maintenance.Works, isNew) {
+		c.leadership.knownNotes = append(c.leadership.knownNotes, maintenance.Note{Party: key, Index: knownIndex})
 	}
 }
 
-// noteClear has it agreed on at which machines a party has nothing any more.
-func (c *Coordinator) noteClear(key string, marks []maintenance.Mark) {
+// queueClear queues notes of the machines at which a participant has nothing open any more.
+func (c *Coordinator) queueClear(key string, marks []maintenance.Mark) {
 	for _, m := range marks {
-		w := c.rep.Work.Active(m.Machine)
+		w := c.replica.Maintenance.Active(m.Machine)
 		if w != nil && w.Granted == m.Grant && !w.Clear[key] &&
 			(w.Step == maintenance.Granted || w.Step == maintenance.Draining) {
-			c.lead.clears = append(c.lead.clears, maintenance.Note{Party: key, Index: m.Grant, Machine: m.Machine})
+			c.leadership.clearNotes = append(c.leadership.clearNotes, maintenance.Note{Party: key,
+				Index: m.Grant, Machine: m.Machine})
 		}
 	}
 }
 
-// joining notes a party's coming or going, once.
-func (c *Coordinator) joining(cmd maintenance.Command) {
+// queueJoinOrLeave queues the joining or leaving of a participant, once.
+func (c *Coordinator) queueJoinOrLeave(cmd maintenance.Command) {
 	same := func(o maintenance.Command) bool {
 		return o.Kind == cmd.Kind && (o.Party != nil && cmd.Party != nil && o.Party.Key() == cmd.Party.Key() ||
 			o.Party == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
 	}
-	if !slices.ContainsFunc(c.lead.joins, same) {
-		c.lead.joins = append(c.lead.joins, cmd)
+	if !slices.ContainsFunc(c.leadership.joins, same) {
+		c.leadership.joins = append(c.leadership.joins, cmd)
 	}
 }
 
-// confirm asks a majority whether this proxy still leads, for all who wait.
-func (c *Coordinator) confirm() {
-	c.lead.token++
-	c.lead.reads[c.lead.token] = &reading{waiting: c.lead.want}
-	c.lead.want = nil
-	c.core.Confirm(c.lead.token)
+// confirmLeadership asks a majority to confirm that this proxy still leads, for all waiters.
+func (c *Coordinator) confirmLeadership() {
+	c.leadership.lastToken++
+	c.leadership.confirmations[c.leadership.lastToken] = &confirmation{waiters: c.leadership.waiters}
+	c.leadership.waiters = nil
+	c.core.Confirm(c.leadership.lastToken)
 }
 
-// confirmed answers those for whom a majority has confirmed the lead after they asked, with the state that
-// was agreed by then. Guards against a leader that was replaced and doesn't know it: what it tells is old.
-func (c *Coordinator) confirmed() {
-	for _, token := range slices.Sorted(maps.Keys(c.lead.reads)) {
-		rd := c.lead.reads[token]
-		if rd.index == 0 || c.core.Applied() < rd.index {
+// answerConfirmed answers the waiters for whom a majority has confirmed the leadership after their
+// request arrived, with the state committed by then. A leader that was replaced and doesn't know it would
+// otherwise answer with an old state.
+func (c *Coordinator) answerConfirmed() {
+	for _, token := range slices.Sorted(maps.Keys(c.leadership.confirmations)) {
+		confirmed := c.leadership.confirmations[token]
+		if confirmed.index == 0 || c.core.Applied() < confirmed.index {
 			continue
 		}
-		delete(c.lead.reads, token)
-		for _, r := range rd.waiting {
-			if r.call != nil {
-				c.replyStatus(r.call)
+		delete(c.leadership.confirmations, token)
+		for _, w := range confirmed.waiters {
+			if w.call != nil {
+				c.replyStatus(w.call)
 			} else {
-				c.grantLease(r)
+				c.grantLease(w)
 			}
 		}
 	}
 }
 
-// grantLease has a party's lease go on.
-func (c *Coordinator) grantLease(r renewer) {
+// grantLease grants or renews a participant's lease.
+func (c *Coordinator) grantLease(r waiter) {
 	key := maintenance.Key(r.from, r.inc)
-	p := c.rep.Work.Parties[key]
+	p := c.replica.Maintenance.Parties[key]
 	if p == nil || p.Gone {
 		return
 	}
-	c.lead.renewed[key] = max(c.lead.renewed[key], r.came)
-	l := c.state()
+	c.leadership.renewed[key] = max(c.leadership.renewed[key], r.receivedAt)
+	l := c.stateMessage()
 	l.Seq = r.renew.Seq
-	l.Duration, _ = c.pace()
+	l.Duration, _ = c.leaseTimes()
 	c.send(p.Name, p.Addr, &Envelope{Lease: l})
 }
 
-// state words what all parties are to know.
-func (c *Coordinator) state() *Lease {
-	_, every := c.pace()
-	w := c.rep.Work
-	l := &Lease{RenewInterval: every, Grace: w.Grace, Index: max(1, w.Index), Named: w.Named(),
+// stateMessage returns the state that all participants must know.
+func (c *Coordinator) stateMessage() *Lease {
+	_, interval := c.leaseTimes()
+	w := c.replica.Maintenance
+	l := &Lease{RenewInterval: interval, Grace: w.Grace, Index: max(1, w.Index), Named: w.Named(),
 		Marked: w.Marked(), Leader: c.cfg.Name, Level: w.Level}
-	for _, id := range slices.Sorted(maps.Keys(c.rep.Voters)) {
-		l.Voters = append(l.Voters, c.rep.Voters[id])
+	for _, id := range slices.Sorted(maps.Keys(c.replica.Voters)) {
+		l.Voters = append(l.Voters, c.replica.Voters[id])
 	}
 	return l
 }
 
-// push tells all parties at once when what they must know has changed. It is no lease: what was agreed is
-// true whoever tells it.
-func (c *Coordinator) push() {
-	work := c.rep.Work
-	if c.lead.pushAt == work.Index {
+// pushState sends the state to all participants as soon as it has changed. It grants no lease; committed
+// state may come from any sender.
+func (c *Coordinator) pushState() {
+	work := c.replica.Maintenance
+	if c.leadership.pushedIndex == work.Index {
 		return
 	}
-	c.lead.pushAt = work.Index
-	l := c.state()
-	what := string(maintenance.Encode([]any{l.Named, l.Marked}))
-	if what == c.lead.pushed {
+	c.leadership.pushedIndex = work.Index
+	l := c.stateMessage()
+	encoded := string(maintenance.Encode([]any{l.Named, l.Marked}))
+	if encoded == c.leadership.pushedState {
 		return
 	}
-	c.lead.pushed = what
+	c.leadership.pushedState = encoded
 	for _, key := range slices.Sorted(maps.Keys(work.Parties)) {
 		if p := work.Parties[key]; !p.Gone {
 			l := *l
--- a/internal/coordination/log.go
+++ b/internal/coordination/log.go
@@ -9,49 +9,49 @@
 	"lilacglade/internal/maintenance"
 )
 
-// settle does what the log wants done, and what this one has to say to itself.
-func (c *Coordinator) settle() {
+// processOutputs handles the output of the log and the messages to itself until there are none left.
+func (c *Coordinator) processOutputs() {
 	for again := true; again; {
 		again = false
-		for len(c.local) > 0 {
-			raw := c.local[0]
-			c.local = c.local[1:]
-			c.received(raw)
+		for len(c.selfMessages) > 0 {
+			raw := c.selfMessages[0]
+			c.selfMessages = c.selfMessages[1:]
+			c.handleMessage(raw)
 			again = true
 		}
 		if c.core == nil {
 			continue
 		}
-		out, err := c.core.Next(func() []byte { return maintenance.Encode(c.rep) })
+		out, err := c.core.Next(func() []byte { return maintenance.Encode(c.replica) })
 		if err != nil {
 			c.core = nil
-			c.do(Retire{err.Error()})
+			c.emit(Retire{err.Error()})
 			return
 		}
 		if out != nil {
 			again = true
-			c.carry(out)
+			c.processOutput(out)
 		}
-		if c.leads() && c.propose() {
+		if c.isLeader() && c.propose() {
 			again = true
 		}
 	}
 }
 
-// carry turns what the log wants into effects.
-func (c *Coordinator) carry(out *consensus.Out) {
+// processOutput turns one output of the log into effects.
+func (c *Coordinator) processOutput(out *consensus.Out) {
 	if out.Write != nil {
-		c.do(Persist{out.Write})
+		c.emit(Persist{out.Write})
 	}
 	for _, m := range out.Messages {
-		if v, ok := c.voter(m.GetTo()); ok {
+		if v, ok := c.voterByID(m.GetTo()); ok {
 			c.send(v.Name, v.Addr, &Envelope{Raft: consensus.Marshal(m)})
 		}
 	}
 	if out.Install != nil {
 		if err := c.install(out.Install); err != nil {
 			c.core = nil
-			c.do(Retire{err.Error()})
+			c.emit(Retire{err.Error()})
 			return
 		}
 	}
@@ -59,20 +59,20 @@
 		c.apply(e)
 	}
 	for _, r := range out.Reads {
-		if rd := c.lead.reads[r.Token]; rd != nil {
-			rd.index = r.Index
+		if pending := c.leadership.confirmations[r.Token]; pending != nil {
+			pending.index = r.Index
 		}
 	}
-	c.confirmed()
+	c.answerConfirmed()
 }
 
-// apply takes in an agreed entry.
+// apply applies a committed entry.
 func (c *Coordinator) apply(e consensus.Entry) {
 	if c.core == nil {
-		return // given up at an entry before
+		return // the log was abandoned at an earlier entry
 	}
 	if e.IsConf {
-		c.changed(e)
+		c.applyVoterChange(e)
 		return
 	}
 	if len(e.Data) == 0 {
@@ -80,48 +80,48 @@
 	}
 	var b batch
 	if err := maintenance.Decode(e.Data, &b); err != nil {
-		c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
+		c.emit(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		return
 	}
 	if slices.ContainsFunc(b.Commands, func(cmd maintenance.Command) bool {
 		return cmd.Kind == maintenance.Raise && cmd.Index > c.cfg.Level
 	}) {
-		c.tooOld()
+		c.abandonLog()
 		return
 	}
 	for _, cmd := range b.Commands {
-		err := c.rep.Work.Apply(e.Index, cmd)
+		err := c.replica.Maintenance.Apply(e.Index, cmd)
 		if cmd.Call != "" {
-			c.callDone(cmd.Call, err)
+			c.finishCall(cmd.Call, err)
 		}
 	}
-	if b.Nonce == c.lead.nonce {
-		c.lead.nonce = 0
+	if b.Nonce == c.leadership.nonce {
+		c.leadership.nonce = 0
 	}
 }
 
-// changed takes in a change of the voters.
-func (c *Coordinator) changed(e consensus.Entry) {
-	var f founding
+// applyVoterChange applies a committed change of the voters.
+func (c *Coordinator) applyVoterChange(e consensus.Entry) {
+	var change voterChange
 	if len(e.Conf) > 0 {
-		if err := maintenance.Decode(e.Conf, &f); err != nil {
-			c.do(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
+		if err := maintenance.Decode(e.Conf, &change); err != nil {
+			c.emit(Log{fmt.Sprintf("entry %d: %v", e.Index, err)})
 		}
 	}
-	if f.Cluster != 0 {
-		c.rep.Cluster = f.Cluster
-		c.adopt(f.Cluster)
+	if change.Cluster != 0 {
+		c.replica.Cluster = change.Cluster
+		c.adoptCluster(change.Cluster)
 	}
-	for _, v := range f.Voters {
-		c.rep.Voters[v.ID] = v
+	for _, v := range change.Voters {
+		c.replica.Voters[v.ID] = v
 	}
-	c.lead.change = 0
-	maps.DeleteFunc(c.rep.Voters, func(id uint64, _ Voter) bool { return !slices.Contains(e.Voters, id) })
+	c.leadership.votersChangedAt = 0
+	maps.DeleteFunc(c.replica.Voters, func(id uint64, _ Voter) bool { return !slices.Contains(e.Voters, id) })
 }
 
-// voter is where a voter is, also one that the log has not told of yet.
-func (c *Coordinator) voter(id uint64) (Voter, bool) {
-	if v, ok := c.rep.Voters[id]; ok {
+// voterByID looks up a voter, including one that the log has not introduced yet.
+func (c *Coordinator) voterByID(id uint64) (Voter, bool) {
+	if v, ok := c.replica.Voters[id]; ok {
 		return v, true
 	}
 	for _, m := range c.table.All() {
--- a/internal/coordination/participant.go
+++ b/internal/coordination/participant.go
@@ -7,233 +7,237 @@
 	"lilacglade/internal/maintenance"
 )
 
-// Times and bounds of a party's renewals.
+// Times and limits of a participant's renewals.
 const (
-	joinEvery    = 300 * time.Millisecond // between two calls while there is no lease
-	busyMemory   = time.Second            // of the mean of what is in work
-	mostAvoids   = 16                     // machines that a proxy names as set aside, or as holding a hot key
-	roomsEach    = 16                     // machines whose room is told with one renewal; all come by turns
-	keptRenewals = 16                     // renewals whose answers still count
-	restTurn     = 3                      // one turn of so many goes to unlikely voters: they may vote by now
+	joinInterval           = 300 * time.Millisecond // interval between two renewals while there is no lease
+	inFlightAveraging      = time.Second            // time constant of the mean of requests in flight
+	maxReportedMachines    = 16                     // ejected machines, and machines with a hot key
+	capacitiesPerRenewal   = 16                     // reported in round-robin order
+	maxOutstandingRenewals = 16                     // latest renewals whose answers are accepted
+	otherPeersInterval     = 3                      // every third attempt: another peer, a voter by now
 )
 
-// party is what this proxy knows as one that sends to machines.
-type party struct {
-	seq      uint64
-	sentAt   map[uint64]time.Duration // renewals that are out
-	renewAt  time.Duration            // the next
-	every    time.Duration
-	hint     string // who may lead
-	turn     int
-	until    time.Duration
-	index    uint64 // of what it was told
-	level    uint64 // of the log
-	reducer  uint64 // of what its reducer keeps to
-	knows    uint64 // up to which it says that it knows the state
-	heard    uint64 // the last renewal that was answered
-	urgent   uint64 // the leader should know soon that it does, from this index on
-	named    []string
-	marked   []maintenance.Mark
-	clear    []maintenance.Mark
-	grace    time.Duration
-	voters   []Voter
-	handled  uint64
-	refused  uint64
-	avoids   []string
-	hot      []string
-	busy     float64 // mean of busyNow over about busyMemory
-	busyNow  float64
-	busyAt   time.Duration
-	rooms    []Capacity
-	roomTurn int
-	leaving  bool
-	left     bool
-	told     Restrictions
-	toldOnce bool
-	began    time.Duration
+// participant is the state of this proxy as a lease holder that sends to machines.
+type participant struct {
+	seq           uint64
+	sentAt        map[uint64]time.Duration // send times of the unanswered renewals
+	nextRenewal   time.Duration            // time of the next renewal
+	renewInterval time.Duration
+	leaderHint    string // probable leader
+	attempt       int    // number of the attempt to find the leader
+	leaseUntil    time.Duration
+	index         uint64 // of the latest state received
+	level         uint64 // protocol level of the log
+	reducerIndex  uint64 // of the state that the reducer enforces
+	knownIndex    uint64 // of the state that it reports as known
+	lastAnswered  uint64 // sequence number of the last answered renewal
+	urgentIndex   uint64 // once knownIndex reaches it, the next renewal is sent at once; 0: none
+	named         []string
+	marked        []maintenance.Mark
+	clear         []maintenance.Mark
+	grace         time.Duration
+	voters        []Voter
+	handled       uint64
+	shed          uint64
+	ejected       []string
+	hot           []string
+	meanInFlight  float64 // mean over about inFlightAveraging
+	inFlight      float64
+	meanAt        time.Duration
+	capacities    []Capacity
+	nextCapacity  int
+	leaving       bool
+	left          bool
+	published     Restrictions
+	publishedOnce bool
+	startedAt     time.Duration
 }
 
-// renew asks for the lease to go on, when it is time to.
+// renew requests a renewal of the lease when it is due.
 func (c *Coordinator) renew() {
-	p := &c.party
-	if c.now < p.renewAt || p.left {
+	p := &c.participant
+	if c.now < p.nextRenewal || p.left {
 		return
 	}
-	if _, open := p.sentAt[p.seq]; open && p.seq > 0 { // the last one was not answered
-		p.hint = ""
-		p.turn++
+	if _, open := p.sentAt[p.seq]; open && p.seq > 0 { // the last renewal is unanswered
+		p.leaderHint = ""
+		p.attempt++
 	}
 	p.seq++
 	p.sentAt[p.seq] = c.now
-	delete(p.sentAt, p.seq-keptRenewals)
-	pace := joinEvery
-	if p.until > c.now && !p.leaving {
-		pace = p.every
+	delete(p.sentAt, p.seq-maxOutstandingRenewals)
+	interval := joinInterval
+	if p.leaseUntil > c.now && !p.leaving {
+		interval = p.renewInterval
 	}
-	p.renewAt = c.now + pace
-	to, addr := c.leaderOr(p.turn)
+	p.nextRenewal = c.now + interval
+	to, addr := c.presumedLeader(p.attempt)
 	if to == "" {
 		return
 	}
-	p.mean(c.now)
-	c.send(to, addr, &Envelope{Renew: &Renew{Seq: p.seq, KnownIndex: p.knows, Clear: p.clear, Grace: c.cfg.Grace,
-		Leaving: p.leaving, Handled: p.handled, Shed: p.refused, Ejected: p.avoids, LastAnswered: p.heard,
-		ResumeIndex: c.told(), InFlight: p.busy, Hot: p.hot, Capacities: c.someRooms()}})
-	p.handled, p.refused = 0, 0
+	p.updateMean(c.now)
+	c.send(to, addr, &Envelope{Renew: &Renew{Seq: p.seq, KnownIndex: p.knownIndex, Clear: p.clear,
+		Grace: c.cfg.Grace, Leaving: p.leaving, Handled: p.handled, Shed: p.shed, Ejected: p.ejected,
+		LastAnswered: p.lastAnswered, ResumeIndex: c.reportedResumeIndex(), InFlight: p.meanInFlight, Hot: p.hot,
+		Capacities: c.nextCapacities()}})
+	p.handled, p.shed = 0, 0
 }
 
-// load takes in what was counted and measured since the last time.
-func (p *party) load(now time.Duration, ev Load) {
+// addLoad adds what was counted and measured since the last call.
+func (p *participant) addLoad(now time.Duration, ev Load) {
 	p.handled += ev.Handled
-	p.refused += ev.Shed
-	p.avoids = ev.Ejected[:min(len(ev.Ejected), mostAvoids)]
-	p.hot = ev.Hot[:min(len(ev.Hot), mostAvoids)]
-	p.rooms = ev.Capacities
-	p.mean(now)
-	p.busyNow = ev.InFlight
+	p.shed += ev.Shed
+	p.ejected = ev.Ejected[:min(len(ev.Ejected), maxReportedMachines)]
+	p.hot = ev.Hot[:min(len(ev.Hot), maxReportedMachines)]
+	p.capacities = ev.Capacities
+	p.updateMean(now)
+	p.inFlight = ev.InFlight
 }
 
-// mean lets the mean of what is in work follow up to now.
-func (p *party) mean(now time.Duration) {
-	if age := now - p.busyAt; age > 0 {
-		p.busy += (p.busyNow - p.busy) * age.Seconds() / (age + busyMemory).Seconds()
-		p.busyAt = now
+// updateMean updates the mean of requests in flight up to now.
+func (p *participant) updateMean(now time.Duration) {
+	if age := now - p.meanAt; age > 0 {
+		p.meanInFlight += (p.inFlight - p.meanInFlight) * age.Seconds() / (age + inFlightAveraging).Seconds()
+		p.meanAt = now
 	}
 }
 
-// told is the index that this party says it may go on by.
-func (c *Coordinator) told() uint64 {
+// reportedResumeIndex is the index of the state from which this participant reports to have resumed.
+func (c *Coordinator) reportedResumeIndex() uint64 {
 	if c.cfg.Disabled == ReportResumeIndex {
 		return 0
 	}
-	return c.from
+	return c.resumeIndex
 }
 
-// someRooms are the rooms that are told with this renewal.
-func (c *Coordinator) someRooms() (some []Capacity) {
-	p := &c.party
-	for range min(roomsEach, len(p.rooms)) {
-		some = append(some, p.rooms[p.roomTurn%len(p.rooms)])
-		p.roomTurn++
+// nextCapacities returns the capacities to report in this renewal.
+func (c *Coordinator) nextCapacities() (next []Capacity) {
+	p := &c.participant
+	for range min(capacitiesPerRenewal, len(p.capacities)) {
+		next = append(next, p.capacities[p.nextCapacity%len(p.capacities)])
+		p.nextCapacity++
 	}
-	return some
+	return next
 }
 
-// leaderOr is who leads as far as is known, or else one of those who may know, by turns.
-func (c *Coordinator) leaderOr(turn int) (name, addr string) {
-	// Guards against asking for good who led when this one lost its vote: it hears no more of elections.
-	if c.core != nil && !c.held && slices.Contains(c.core.Voters(), c.cfg.ID) {
+// renewalTarget returns the leader as far as it is known, or otherwise one of the proxies that may know
+// it, in round-robin order.
+func (c *Coordinator) presumedLeader(attempt int) (name, addr string) {
+	// Only a voter may use its own part in the log: a proxy that has lost its vote no longer learns of
+	// elections, and would keep addressing an old leader.
+	if c.core != nil && !c.votingHeld && slices.Contains(c.core.Voters(), c.cfg.ID) {
 		if leader, ok := c.leader(); ok {
 			return leader.Name, leader.Addr
 		}
 	}
 	addrs := map[string]string{}
-	for _, v := range c.party.voters {
+	for _, v := range c.participant.voters {
 		addrs[v.Name] = v.Addr
 	}
-	if c.party.hint != "" {
-		return c.party.hint, addrs[c.party.hint]
+	if c.participant.leaderHint != "" {
+		return c.participant.leaderHint, addrs[c.participant.leaderHint]
 	}
-	var likely, rest []string
-	for _, v := range c.party.voters {
-		likely = append(likely, v.Name)
+	var probableVoters, otherPeers []string
+	for _, v := range c.participant.voters {
+		probableVoters = append(probableVoters, v.Name)
 	}
 	for _, n := range c.cfg.InitialVoters {
-		if !slices.Contains(likely, n) && n != c.cfg.Name {
-			likely = append(likely, n)
+		if !slices.Contains(probableVoters, n) && n != c.cfg.Name {
+			probableVoters = append(probableVoters, n)
 		}
 	}
 	for _, n := range c.cfg.Peers {
-		if !slices.Contains(likely, n) {
-			rest = append(rest, n)
+		if !slices.Contains(probableVoters, n) {
+			otherPeers = append(otherPeers, n)
 		}
 	}
-	// Guards against going round hundreds of peers, who know nothing, in search of a few that vote.
-	names := likely
-	if len(likely) == 0 || len(rest) > 0 && turn%restTurn == restTurn-1 {
-		names, turn = rest, turn/restTurn
+	// Prefer probable voters over going through hundreds of peers that don't know the leader.
+	names := probableVoters
+	if len(probableVoters) == 0 || len(otherPeers) > 0 && attempt%otherPeersInterval == otherPeersInterval-1 {
+		names, attempt = otherPeers, attempt/otherPeersInterval
 	}
 	if len(names) == 0 {
 		return c.cfg.Name, c.cfg.Addr
 	}
-	name = names[(turn+int(c.cfg.Incarnation%uint64(len(names))))%len(names)]
+	name = names[(attempt+int(c.cfg.Incarnation%uint64(len(names))))%len(names)]
 	return name, addrs[name]
 }
 
-// leased takes in what a leader tells.
-func (c *Coordinator) leased(e *Envelope) {
-	l, p := e.Lease, &c.party
+// handleLease handles a Lease message.
+func (c *Coordinator) handleLease(e *Envelope) {
+	l, p := e.Lease, &c.participant
 	if c.cluster == 0 && e.Cluster != 0 {
-		c.adopt(e.Cluster)
+		c.adoptCluster(e.Cluster)
 	}
 	if l.Level > c.cfg.Level && c.core != nil && l.Duration == 0 {
-		c.tooOld()
+		c.abandonLog()
 		return
 	}
-	sent, mine := p.sentAt[l.Seq]
+	sent, pending := p.sentAt[l.Seq]
 	if l.Seq != 0 {
-		if !mine {
-			return // an old answer, or to another process
+		if !pending {
+			return // an old answer, or one to another process
 		}
-		p.renewalAnswered(e.From, l)
+		p.recordAnswer(e.From, l)
 	}
-	if c.dismissed(l) {
+	if c.handleDismissal(l) {
 		return
 	}
-	c.informed(l)
-	if mine && l.Duration > 0 && l.Index != 0 {
-		c.extend(l, sent)
+	c.updateState(l)
+	if pending && l.Duration > 0 && l.Index != 0 {
+		c.extendLease(l, sent)
 	}
 }
 
-// renewalAnswered notes whom the answer to a renewal came from, and who leads by it.
-func (p *party) renewalAnswered(from string, l *Lease) {
+// recordAnswer records the answer to a renewal, and the leader that it names.
+func (p *participant) recordAnswer(from string, l *Lease) {
 	delete(p.sentAt, l.Seq)
-	if l.Leader == from { // guards against taking its own answer, while it knows of no leader, for one
-		p.heard = max(p.heard, l.Seq)
+	if l.Leader == from { // not this proxy's own answer, sent while it knows of no leader
+		p.lastAnswered = max(p.lastAnswered, l.Seq)
 	}
 	if l.RenewNow {
-		p.renewAt = 0
+		p.nextRenewal = 0
 	}
-	if l.Seq == p.seq && l.Leader != "" && l.Leader != p.hint {
-		p.hint = l.Leader
+	if l.Seq == p.seq && l.Leader != "" && l.Leader != p.leaderHint {
+		p.leaderHint = l.Leader
 		if l.Duration == 0 && l.Leader != from {
-			p.renewAt = 0
+			p.nextRenewal = 0
 		}
 	} else if l.Leader == "" {
-		p.hint = ""
-		p.turn++
+		p.leaderHint = ""
+		p.attempt++
 	}
 }
 
-// dismissed tells whether an answer ends this party or the identity on its disk: there is no lease in it.
-func (c *Coordinator) dismissed(l *Lease) bool {
-	p := &c.party
+// handleDismissal reports whether an answer ends this participant or the identity on its disk, so that it
+// grants no lease.
+func (c *Coordinator) handleDismissal(l *Lease) bool {
+	p := &c.participant
 	switch {
 	case l.Retire && p.leaving:
-		return true // an earlier call of this party came after it had left: its disk is as it should be
+		return true // an earlier renewal reached the leader after the leave: the disk is valid
 	case l.Retire:
-		c.retire("the disk is older than what the log knows of it")
+		c.retireIdentity("the disk is older than what the log knows of it")
 		return true
 	case l.Left && p.leaving && !p.left:
 		p.left = true
-		c.do(LeaveComplete{})
+		c.emit(LeaveComplete{})
 		return true
 	}
 	return false
 }
 
-// informed takes in the state that was agreed on. It is so for good, whoever tells it.
-func (c *Coordinator) informed(l *Lease) {
-	p := &c.party
+// updateState records the committed state. It is final, whoever sent it.
+func (c *Coordinator) updateState(l *Lease) {
+	p := &c.participant
 	if l.Index > p.index {
-		news := !slices.Equal(p.named, l.Named) || p.level != l.Level
-		if news {
-			p.urgent = l.Index
+		changed := !slices.Equal(p.named, l.Named) || p.level != l.Level
+		if changed {
+			p.urgentIndex = l.Index
 		}
 		p.index, p.named, p.marked, p.level = l.Index, l.Named, l.Marked, l.Level
-		if p.grace = max(p.grace, l.Grace); news && p.level >= maintenance.LevelResume {
-			c.keep()
+		if p.grace = max(p.grace, l.Grace); changed && p.level >= maintenance.LevelResume {
+			c.persistRecord()
 		}
 		p.clear = slices.DeleteFunc(p.clear, func(m maintenance.Mark) bool { return !slices.Contains(p.marked, m) })
 	}
@@ -243,33 +247,34 @@
 	p.grace = max(p.grace, l.Grace)
 }
 
-// extend has the lease last from when its renewal was sent: the leader counts from later on.
-func (c *Coordinator) extend(l *Lease, sent time.Duration) {
-	p := &c.party
-	p.every = max(joinEvery, l.RenewInterval)
+// extendLease extends the lease, counted from the sending of its renewal: the leader counts from its
+// arrival, which is later.
+func (c *Coordinator) extendLease(l *Lease, sent time.Duration) {
+	p := &c.participant
+	p.renewInterval = max(joinInterval, l.RenewInterval)
 	if c.cfg.Disabled == LeaseFromSendTime {
 		sent = c.now
 	}
-	p.until = max(p.until, sent+l.Duration)
+	p.leaseUntil = max(p.leaseUntil, sent+l.Duration)
 	votes := c.core != nil && !c.core.Changing() && slices.Contains(c.core.Voters(), c.cfg.ID)
-	if votes && l.Index >= c.rep.Work.Index &&
+	if votes && l.Index >= c.replica.Maintenance.Index &&
 		!slices.ContainsFunc(l.Voters, func(v Voter) bool { return v.ID == c.cfg.ID }) {
-		c.retire("another proxy has its vote now")
+		c.retireIdentity("another proxy has its vote now")
 	}
 }
 
-// leave ends this party. Guards against a next process that goes on by what the disk knew: nobody waits for
-// this party's word any more once it has left.
-func (c *Coordinator) leave() {
-	p := &c.party
-	p.leaving, p.renewAt, c.resume = true, 0, nil
+// startLeaving ends this participant. It clears the durable record, because a later process must not
+// resume from it: nobody waits for this participant's reports once it has left.
+func (c *Coordinator) startLeaving() {
+	p := &c.participant
+	p.leaving, p.nextRenewal, c.resumeRecord = true, 0, nil
 	if c.core != nil && c.core.Leads() {
 		c.core.Yield()
 	}
-	if !c.kept && p.level >= maintenance.LevelResume {
-		p.left = true // it is found out by its lease
-		c.do(LeaveComplete{})
+	if !c.recordWritten && p.level >= maintenance.LevelResume {
+		p.left = true // the others wait for the expiry of its lease
+		c.emit(LeaveComplete{})
 		return
 	}
-	c.keep()
+	c.persistRecord()
 }
--- a/internal/coordination/restrictions.go
+++ b/internal/coordination/restrictions.go
@@ -8,59 +8,62 @@
 	"lilacglade/internal/maintenance"
 )
 
-// resumeAfter: without a lease for so long, what the disk knew is gone by.
-const resumeAfter = time.Second
+// resumeDelay is the time without a lease after which the proxy resumes from its durable record.
+const resumeDelay = time.Second
 
-// Forever is the end of a lease that never ends.
+// Forever is the expiry of a lease that never expires.
 const Forever = time.Duration(1<<63 - 1)
 
-// stopped takes in what the reducer says. Guards against telling the leader that something is known that
-// still lies before the reducer: a process paused just then would go on by what it knew before.
-func (c *Coordinator) stopped(ev RestrictionsApplied) {
-	p := &c.party
-	p.reducer = max(p.reducer, ev.Index)
-	c.known()
-	if p.urgent > 0 && p.knows >= p.urgent {
-		p.urgent, p.renewAt = 0, 0
+// handleRestrictionsApplied records what the reducer enforces. Only that may be reported to the leader as
+// known: a process that is paused just before its reducer reads an update would otherwise resume with the
+// old state.
+func (c *Coordinator) handleRestrictionsApplied(ev RestrictionsApplied) {
+	p := &c.participant
+	p.reducerIndex = max(p.reducerIndex, ev.Index)
+	c.updateKnownIndex()
+	if p.urgentIndex > 0 && p.knownIndex >= p.urgentIndex {
+		p.urgentIndex, p.nextRenewal = 0, 0
 	}
 	if !slices.Equal(p.clear, ev.Clear) {
-		p.clear, p.renewAt = slices.Clone(ev.Clear), 0
+		p.clear, p.nextRenewal = slices.Clone(ev.Clear), 0
 	}
 }
 
-// known notes up to where this party may say that it knows the state: its reducer keeps to it, and the disk
-// knows what is named.
-func (c *Coordinator) known() {
-	if p := &c.party; c.kept || p.level < maintenance.LevelResume {
-		p.knows = max(p.knows, min(p.reducer, p.index))
+// updateKnownIndex updates the index that this participant may report as known: its reducer enforces that
+// state, and the durable record covers the named machines.
+func (c *Coordinator) updateKnownIndex() {
+	if p := &c.participant; c.recordWritten || p.level < maintenance.LevelResume {
+		p.knownIndex = max(p.knownIndex, min(p.reducerIndex, p.index))
 	}
 }
 
-// tell tells the reducer what holds, when it has changed.
-func (c *Coordinator) tell() {
-	p := &c.party
-	f := Restrictions{Index: p.index, Marked: p.marked, Named: p.named, LeaseUntil: p.until, Grace: p.grace}
-	if r := c.resume; r != nil && f.LeaseUntil == 0 && p.began > 0 && c.now-p.began >= resumeAfter {
-		// As if its lease had run out: what it doesn't hold can't be told free, since the log waits for the word
-		// of the process that was here before, or for this one's.
+// publishRestrictions sends the Restrictions to the reducer if they have changed.
+func (c *Coordinator) publishRestrictions() {
+	p := &c.participant
+	f := Restrictions{Index: p.index, Marked: p.marked, Named: p.named, LeaseUntil: p.leaseUntil, Grace: p.grace}
+	if r := c.resumeRecord; r != nil && f.LeaseUntil == 0 && p.startedAt > 0 &&
+		c.now-p.startedAt >= resumeDelay {
+		// Same as after the expiry of a lease. A machine that this proxy does not block can't be
+		// released, since the log waits for a report of the earlier process on this disk, or of this one.
 		if f.LeaseUntil = 1; f.Index < r.Index {
 			f.Index, f.Named, f.Marked, f.Grace = r.Index, r.Named, nil, r.Grace
 		}
-		if p.told.LeaseUntil == 0 {
-			c.do(Log{fmt.Sprintf("no lease yet: serves by what was known here at entry %d, and sends nothing to the "+
-				"%d machines that might go out", f.Index, len(f.Named))})
+		if p.published.LeaseUntil == 0 {
+			c.emit(Log{fmt.Sprintf("no lease yet: serves by what was known here at entry %d, and sends nothing to "+
+				"the %d machines that might go out", f.Index, len(f.Named))})
 		}
 	}
-	if f.LeaseUntil == 0 && c.cfg.AloneAfter > 0 && p.began > 0 && c.now-p.began >= c.cfg.AloneAfter {
+	if f.LeaseUntil == 0 && c.cfg.AloneAfter > 0 && p.startedAt > 0 && c.now-p.startedAt >= c.cfg.AloneAfter {
 		f.LeaseUntil = Forever
-		if p.told.LeaseUntil != Forever {
-			c.do(Log{fmt.Sprintf("no lease after %v: serves alone, as configured, and can't know which machines "+
+		if p.published.LeaseUntil != Forever {
+			c.emit(Log{fmt.Sprintf("no lease after %v: serves alone, as configured, and can't know which machines "+
 				"are out", c.cfg.AloneAfter)})
 		}
 	}
-	if p.toldOnce && f.Index == p.told.Index && f.LeaseUntil == p.told.LeaseUntil && f.Grace == p.told.Grace {
+	if p.publishedOnce && f.Index == p.published.Index && f.LeaseUntil == p.published.LeaseUntil &&
+		f.Grace == p.published.Grace {
 		return
 	}
-	p.told, p.toldOnce = f, true
-	c.do(f)
+	p.published, p.publishedOnce = f, true
+	c.emit(f)
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Status words how things stand, for operators.
+// Status returns the current state as text for operators.
 func (c *Coordinator) Status() string {
 	var b strings.Builder
-	work, v := c.rep.Work, c.view()
-	fmt.Fprintf(&b, "index %d leader %s term %d voters", work.Index, c.cfg.Name, c.lead.term)
-	for _, id := range slices.Sorted(maps.Keys(c.rep.Voters)) {
-		fmt.Fprintf(&b, " %s", c.rep.Voters[id].Name)
+	work, v := c.replica.Maintenance, c.view()
+	fmt.Fprintf(&b, "index %d leader %s term %d voters", work.Index, c.cfg.Name, c.leadership.term)
+	for _, id := range slices.Sorted(maps.Keys(c.replica.Voters)) {
+		fmt.Fprintf(&b, " %s", c.replica.Voters[id].Name)
 	}
 	b.WriteByte('\n')
 	room := 0.0
@@ -27,7 +27,7 @@
 	for _, key := range slices.Sorted(maps.Keys(work.Parties)) {
 		p := work.Parties[key]
 		age := "never"
-		if at, ok := c.lead.renewed[key]; ok {
+		if at, ok := c.leadership.renewed[key]; ok {
 			age = (c.now - at).Round(TickEvery).String() + " ago"
 		}
 		fmt.Fprintf(&b, "proxy %s knows %d renewed %s", key, p.Known(), age)
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -1,5 +1,7 @@
-// Package fencing is what a proxy may send to while machines are taken out for work: pure, asked before every
-// event. Facts come from the council; that a lease has run out it sees by itself, however late it is asked.
+// Package fencing decides to which machines a proxy may send while machines are taken out for
+// maintenance. It is pure and is consulted before every event. The restrictions come from the
+// coordination group; the expiry of the lease follows from the clock alone, however late the fence is
+// consulted.
 package fencing
 
 import (
@@ -7,110 +9,115 @@
 	"time"
 )
 
-// Mark is a machine to which nothing new may be sent, and the grant that says so.
+// Mark is a machine to which no new requests may be sent, and the grant that forbids them.
 type Mark[K comparable] struct {
 	Machine K
 	Grant   uint64
 }
 
-// Restrictions are what is known, and until when that is enough.
+// Restrictions are the committed state of the coordination group as far as it limits a proxy, and the
+// lease until which the proxy may go by it.
 type Restrictions[K comparable] struct {
-	Index      uint64
-	Marked     []Mark[K]
-	Named      []K
-	LeaseUntil time.Duration // 0: no lease yet
-	Grace      time.Duration
+	Index      uint64        // of the committed state
+	Marked     []Mark[K]     // no new requests there
+	Named      []K           // no new requests there after the lease
+	LeaseUntil time.Duration // expiry of the lease on the caller's clock; 0: no lease yet
+	Grace      time.Duration // longest request deadline
 }
 
-// Fence is the state. New makes one that holds everything: without a lease nothing may be sent.
+// Fence holds the restrictions and what follows from them. New returns one that blocks every machine:
+// without a lease nothing may be sent.
 type Fence[K comparable] struct {
-	facts Restrictions[K]
-	held  map[K]bool // nil: everything
-	lapse bool       // the lease has run out
-	cut   bool       // and what was open then is to be cut, or has been
+	restrictions Restrictions[K]
+	blocked      map[K]bool // nil: every machine
+	expired      bool       // the lease has expired
+	closed       bool       // Grace has passed since, and Advance has returned closeOpen
 }
 
-// New is a Set before its first lease.
+// New returns a Fence without a lease.
 func New[K comparable]() *Fence[K] { return &Fence[K]{} }
 
-// Update takes in facts. What changed is told by the next At.
+// Update replaces the restrictions, unless they are older than the current ones. The next Advance reports
+// the change.
 func (s *Fence[K]) Update(f Restrictions[K]) {
-	if f.Index < s.facts.Index {
-		return // an older state is never gone back to
+	if f.Index < s.restrictions.Index {
+		return // never revert to an older state
 	}
-	if f.Index > s.facts.Index {
-		s.held = nil
+	if f.Index > s.restrictions.Index {
+		s.blocked = nil
 	}
-	f.LeaseUntil = max(f.LeaseUntil, s.facts.LeaseUntil)
-	s.facts = f
+	f.LeaseUntil = max(f.LeaseUntil, s.restrictions.LeaseUntil)
+	s.restrictions = f
 }
 
-// Advance is to be asked before each event. Changed says that what Holds tells may differ from before; cut, that
-// all that is open at named machines is to be closed: the longest deadline has passed since the lease ran
-// out.
-func (s *Fence[K]) Advance(now time.Duration) (changed, cut bool) {
-	f := &s.facts
+// Advance must be called before each event. It returns changed if the results of Blocks may have changed,
+// and closeOpen if all that is open at named machines must be closed: the longest request deadline has
+// passed since the lease expired.
+func (s *Fence[K]) Advance(now time.Duration) (changed, closeOpen bool) {
+	f := &s.restrictions
 	if f.LeaseUntil == 0 {
 		return false, false
 	}
-	lapse := now >= f.LeaseUntil
-	if !lapse {
-		s.cut = false
+	expired := now >= f.LeaseUntil
+	if !expired {
+		s.closed = false
 	}
-	if s.held == nil || lapse != s.lapse {
-		s.lapse, changed = lapse, true
-		s.held = make(map[K]bool, len(f.Named))
+	if s.blocked == nil || expired != s.expired {
+		s.expired, changed = expired, true
+		s.blocked = make(map[K]bool, len(f.Named))
 		for _, m := range f.Marked {
-			s.held[m.Machine] = true
+			s.blocked[m.Machine] = true
 		}
-		if lapse {
+		if expired {
 			for _, id := range f.Named {
-				s.held[id] = true
+				s.blocked[id] = true
 			}
 		}
 	}
-	if lapse && !s.cut && now-f.LeaseUntil >= f.Grace {
-		s.cut, cut = true, true
+	if expired && !s.closed && now-f.LeaseUntil >= f.Grace {
+		s.closed, closeOpen = true, true
 	}
-	return changed, cut
+	return changed, closeOpen
 }
 
-// Blocks tells whether nothing new may be sent to a machine.
-func (s *Fence[K]) Blocks(id K) bool { return s.held == nil || s.held[id] }
+// Blocks reports whether no new requests may be sent to a machine.
+func (s *Fence[K]) Blocks(id K) bool { return s.blocked == nil || s.blocked[id] }
 
-// EverLeased tells whether there ever was a lease.
-func (s *Fence[K]) EverLeased() bool { return s.facts.LeaseUntil > 0 }
+// EverLeased reports whether there has been a lease.
+func (s *Fence[K]) EverLeased() bool { return s.restrictions.LeaseUntil > 0 }
 
 // Named lists the machines that may go out.
-func (s *Fence[K]) Named() []K { return s.facts.Named }
+func (s *Fence[K]) Named() []K { return s.restrictions.Named }
 
-// Index is that of the state that is kept to.
-func (s *Fence[K]) Index() uint64 { return s.facts.Index }
+// Index returns the index of the state that the fence enforces.
+func (s *Fence[K]) Index() uint64 { return s.restrictions.Index }
 
-// MarkCount counts the machines that are marked.
-func (s *Fence[K]) MarkCount() int { return len(s.facts.Marked) }
+// MarkCount returns the number of marks.
+func (s *Fence[K]) MarkCount() int { return len(s.restrictions.Marked) }
 
-// LeaseUntil is when the lease ends that a machine may be sent to by, 0 if it needs none.
+// LeaseUntil returns the expiry of the lease that sending to a machine depends on; 0 if it depends on
+// none.
 func (s *Fence[K]) LeaseUntil(id K) time.Duration {
-	if !slices.Contains(s.facts.Named, id) {
+	if !slices.Contains(s.restrictions.Named, id) {
 		return 0
 	}
-	return s.facts.LeaseUntil
+	return s.restrictions.LeaseUntil
 }
 
-// NextDeadline is when At has something to tell at the latest, if nothing is told before; 0: never.
+// NextDeadline returns the time at which Advance next has a result without an Update; 0: never.
 func (s *Fence[K]) NextDeadline() time.Duration {
-	switch f := &s.facts; {
-	case f.LeaseUntil == 0 || s.cut:
+	switch f := &s.restrictions; {
+	case f.LeaseUntil == 0 || s.closed:
 		return 0
-	case s.lapse:
+	case s.expired:
 		return f.LeaseUntil + f.Grace
 	default:
 		return f.LeaseUntil
 	}
 }
 
-// ClearMarks lists the marks of machines at which open counts nothing.
+// ClearMarks lists the marks of machines for which open returns 0.
 func (s *Fence[K]) ClearMarks(open func(K) int) []Mark[K] {
-	return slices.DeleteFunc(slices.Clone(s.facts.Marked), func(m Mark[K]) bool { return open(m.Machine) > 0 })
+	return slices.DeleteFunc(slices.Clone(s.restrictions.Marked),
+		func(m Mark[K]) bool { return open(m.Machine) > 0 })
 }
--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestLease covers what may be sent where, from before the first lease to after the last.
+// TestLease covers which machines are blocked, from before the first lease until after the last.
 func TestLease(t *testing.T) {
 	s := New[string]()
 	if s.Advance(0); !s.Blocks("a") {
-		t.Error("sent before the first lease")
+		t.Error("not blocked before the first lease")
 	}
 	s.Update(Restrictions[string]{Index: 5, Named: []string{"a", "b"}, Marked: []Mark[string]{{"a", 4}},
 		LeaseUntil: 100, Grace: 50})
@@ -20,18 +20,18 @@
 		{149, true, true, false, false}, {150, true, true, false, true}, {151, true, true, false, false}} {
 		_, cut := s.Advance(tc.now)
 		if s.Blocks("a") != tc.a || s.Blocks("b") != tc.b || s.Blocks("c") != tc.c || cut != tc.cut {
-			t.Errorf("at %d: holds %t %t %t, cut %t", tc.now, s.Blocks("a"), s.Blocks("b"), s.Blocks("c"), cut)
+			t.Errorf("at %d: blocks %t %t %t, close %t", tc.now, s.Blocks("a"), s.Blocks("b"), s.Blocks("c"), cut)
 		}
 	}
 	s.Update(Restrictions[string]{Index: 4, LeaseUntil: 900}) // an older state
 	if s.Advance(160); !s.Blocks("a") || !s.Blocks("b") {
-		t.Error("went back to an older state")
+		t.Error("reverted to an older state")
 	}
 	s.Update(Restrictions[string]{Index: 6, Named: []string{"a"}, LeaseUntil: 300, Grace: 50})
 	if s.Advance(160); s.Blocks("a") || s.Blocks("b") {
-		t.Error("held what is neither marked nor, with a lease, named")
+		t.Error("blocks a machine that is neither marked nor, without a lease, named")
 	}
 	if _, cut := s.Advance(350); !cut {
-		t.Error("not cut after the second lease")
+		t.Error("open requests not closed after the second lease")
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership is what a proxy knows of its peers: who was heard, when, as which process. It is pure.
-// What it says is a belief with an age; nothing that must be safe follows from it.
+// Package membership tracks what a proxy knows of its peers: from whom it has received messages, when,
+// and from which process. It is pure. The information may be out of date, so nothing that must be safe
+// depends on it.
 package membership
 
 import (
@@ -8,50 +9,51 @@
 	"time"
 )
 
-// Member is a peer as last heard.
+// Member is a peer as of its latest message.
 type Member struct {
 	Name        string
-	Incarnation uint64 // its incarnation: another start is another one
-	ID          uint64 // as a voter
-	Boot        uint64 // which start this is of that identity
-	Addr        string // where it listens to its peers, as it says itself
-	Blank       bool   // it has never been part of a log
-	Level       uint64 // what it understands
+	Incarnation uint64 // identifies the process; each start has a new one
+	ID          uint64 // identity as a voter
+	Boot        uint64 // number of this start of the identity ID
+	Addr        string // address for its peers, as reported by itself
+	Blank       bool   // the peer has never been part of a log
+	Level       uint64 // protocol level that it understands
 	LastHeard   time.Duration
 }
 
-// State is what to think of a peer.
+// State is the assumed liveness of a peer.
 type State uint8
 
-// The states.
+// The states of a peer.
 const (
 	Unknown   State = iota
-	Alive           // heard lately
-	Suspected       // not heard for a while
-	Lost            // not heard for long
+	Alive           // a message arrived recently
+	Suspected       // no message for a short time
+	Lost            // no message for a long time
 )
 
 func (s State) String() string { return [...]string{"unknown", "alive", "suspected", "lost"}[s] }
 
 const (
-	suspectAfter = 3    // times the pace at which peers speak
-	maxMembers   = 4096 // beyond, who has not been heard for longest is forgotten
+	suspectAfter = 3    // multiple of the interval at which a peer sends
+	maxMembers   = 4096 // above, the peer with the oldest last message is evicted
 )
 
-// Table holds the peers.
+// Table holds the known peers.
 type Table struct {
 	lostAfter time.Duration
 	all       map[string]*Member
-	boots     map[uint64]uint64 // the latest start heard of each identity
+	boots     map[uint64]uint64 // latest start received of each identity
 }
 
-// New is an empty table. A peer that has not been heard for so long counts as lost.
+// New returns an empty Table. A peer without a message for longer than lostAfter counts as lost.
 func New(lostAfter time.Duration) *Table {
 	return &Table{lostAfter: lostAfter, all: map[string]*Member{}, boots: map[uint64]uint64{}}
 }
 
-// Observe takes in that a peer spoke. It tells whether this process of it was not known. Guards against a late
-// word of an earlier process: only starts of one identity have an order, and there the later one counts.
+// Observe records a message from a peer at time now. It reports whether the peer's process was unknown
+// before. A delayed message from an earlier process is ignored where the order is known: only the starts
+// of one identity are ordered, and the latest counts.
 func (t *Table) Observe(now time.Duration, m Member) bool {
 	m.LastHeard = now
 	old := t.all[m.Name]
@@ -68,7 +70,7 @@
 	return old == nil || old.Incarnation != m.Incarnation
 }
 
-// evict forgets who has not been heard for longest.
+// evict removes the peer whose last message is the oldest.
 func (t *Table) evict() {
 	var oldest *Member
 	for _, m := range t.all {
@@ -81,27 +83,27 @@
 	delete(t.boots, oldest.ID)
 }
 
-// LatestBoot is the latest start that was heard of an identity.
+// LatestBoot returns the latest start received of an identity; 0 if none.
 func (t *Table) LatestBoot(id uint64) uint64 { return t.boots[id] }
 
-// Get is a peer, nil if it was never heard.
+// Get returns a peer; nil if no message from it was received.
 func (t *Table) Get(name string) *Member { return t.all[name] }
 
-// State tells what to think of a peer that speaks at a pace.
-func (t *Table) State(now time.Duration, name string, pace time.Duration) State {
+// State returns the assumed liveness of a peer that sends at the given interval.
+func (t *Table) State(now time.Duration, name string, interval time.Duration) State {
 	m := t.all[name]
 	switch {
 	case m == nil:
 		return Unknown
-	case now-m.LastHeard > max(t.lostAfter, suspectAfter*pace):
+	case now-m.LastHeard > max(t.lostAfter, suspectAfter*interval):
 		return Lost
-	case now-m.LastHeard > suspectAfter*pace:
+	case now-m.LastHeard > suspectAfter*interval:
 		return Suspected
 	}
 	return Alive
 }
 
-// All lists the peers by name.
+// All lists the peers, sorted by name.
 func (t *Table) All() []*Member {
 	var all []*Member
 	for _, m := range t.all {
