--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -5,53 +5,55 @@
 	"lilacglade/internal/maintenance"
 )
 
-// Event is something that happened: a Tick, Received, Asked, Stopped, Inventory, Load, Leaving or DiskLost.
+// Event is a Tick, MessageReceived, CallReceived, RestrictionsApplied, Inventory, Load, Leaving, DiskLost
+// or DiskRestored.
 type Event interface{ event() }
 
 type (
-	// Tick is due every TickEvery.
+	// Tick occurs every TickEvery.
 	Tick struct{}
-	// Received brings a peer's message.
-	Received struct{ Raw []byte }
-	// Asked brings an operators' call; Reply with the token follows.
-	Asked struct {
+	// MessageReceived is an encoded message from a peer.
+	MessageReceived struct{ Raw []byte }
+	// CallReceived is an operator's call; a Reply with the same token follows.
+	CallReceived struct {
 		Token uint64
 		Call  Call
 	}
-	// Stopped says up to where the reducer keeps to the Facts, and that it has nothing at these machines, of
-	// these grants.
-	Stopped struct {
+	// RestrictionsApplied reports the index up to which the reducer enforces the Restrictions, and the
+	// marks of machines where it has nothing open.
+	RestrictionsApplied struct {
 		Index uint64
 		Clear []maintenance.Mark
 	}
-	// Inventory is the machines as discovery lists them now.
+	// Inventory is the current list of machines from discovery.
 	Inventory struct{ Machines []maintenance.Seen }
-	// Load counts requests since the last Load, those that are in work at machines now, and what was measured.
+	// Load counts the requests since the last Load and those in flight at machines now, and reports what
+	// the proxy measured of machines.
 	Load struct {
-		Handled, Refused uint64
-		Busy             float64
-		Avoids           []string // machines that it has set aside
-		Hot              []string // machines where it sends a hot key
-		Rooms            []Room
+		Handled, Shed uint64
+		InFlight      float64
+		Ejected       []string // machines ejected by outlier detection
+		Hot           []string // machines to which it sends a hot key
+		Capacities    []Capacity
 	}
-	// Leaving says that the proxy has ended all it had open; Left follows.
+	// Leaving says that the proxy has nothing open any more and exits; LeaveComplete follows.
 	Leaving struct{}
-	// DiskLost says that a Write failed: nothing behind it was done.
+	// DiskLost says that a write failed and the effects behind it were skipped.
 	DiskLost struct{}
-	// DiskBack says that the disk can be written again, and what is on it.
-	DiskBack struct {
+	// DiskRestored says that the disk is writable again, with its content.
+	DiskRestored struct {
 		ID, Boot uint64
 		Saved    consensus.Saved
 		Note     []byte
 	}
 )
 
-func (Tick) event()      {}
-func (Received) event()  {}
-func (Asked) event()     {}
-func (Stopped) event()   {}
-func (Inventory) event() {}
-func (Load) event()      {}
-func (Leaving) event()   {}
-func (DiskLost) event()  {}
-func (DiskBack) event()  {}
+func (Tick) event()                {}
+func (MessageReceived) event()     {}
+func (CallReceived) event()        {}
+func (RestrictionsApplied) event() {}
+func (Inventory) event()           {}
+func (Load) event()                {}
+func (Leaving) event()             {}
+func (DiskLost) event()            {}
+func (DiskRestored) event()        {}
--- a/internal/reducer/maintenance.go
+++ b/internal/reducer/maintenance.go
@@ -17,7 +17,7 @@
 // taken out for maintenance. OwnGrant is the grant by which this proxy's own machine is taken out, 0 if
 // it is not.
 type FencingUpdated struct {
-	Facts    fencing.Facts[lg.ServerID]
+	Facts    fencing.Restrictions[lg.ServerID]
 	OwnGrant uint64
 }
 
@@ -34,7 +34,7 @@
 // maintenance is the state of servers that are taken out for maintenance in coordination with other
 // proxies. Without peers there is none.
 type maintenance struct {
-	fence          *fencing.Set[lg.ServerID]
+	fence          *fencing.Fence[lg.ServerID]
 	listed         map[lg.ServerID]lg.Server // as in discovery's list
 	held           map[lg.ServerID]bool      // servers that the decider and the pool see as draining
 	reported       FencingStatus             // the last status
@@ -68,7 +68,7 @@
 			continue
 		}
 		m.listed[server.ID] = server
-		if m.held[server.ID] = m.fence.Holds(server.ID); m.held[server.ID] && server.State == lg.Ready {
+		if m.held[server.ID] = m.fence.Blocks(server.ID); m.held[server.ID] && server.State == lg.Ready {
 			list.Servers[i].State = lg.Draining
 		}
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	m := s.maintenance
-	m.fence.Told(ev.Facts)
+	m.fence.Update(ev.Facts)
 	if ev.OwnGrant != m.ownGrant {
 		starts := m.ownGrant == 0
 		if m.ownGrant, m.ownClear = ev.OwnGrant, false; starts {
@@ -114,14 +114,14 @@
 // its lease must not send anything new to a server that may be out by now, whichever event it handles.
 func (s *State) checkLease() {
 	m := s.maintenance
-	changed, closeNamed := m.fence.At(s.now)
+	changed, closeNamed := m.fence.Advance(s.now)
 	if changed {
 		s.updateHolds()
 	}
 	if closeNamed {
 		s.closeNamedConns()
 	}
-	if due := m.fence.Due(); due > 0 && due != m.nextLeaseCheck && due < 1<<62 {
+	if due := m.fence.NextDeadline(); due > 0 && due != m.nextLeaseCheck && due < 1<<62 {
 		m.nextLeaseCheck = due
 		s.timers.add(due, s.checkLease)
 	}
@@ -133,7 +133,7 @@
 	m := s.maintenance
 	var updates []lg.Server
 	for _, server := range sortedValues(m.listed) {
-		if held := m.fence.Holds(server.ID); held != m.held[server.ID] {
+		if held := m.fence.Blocks(server.ID); held != m.held[server.ID] {
 			if m.held[server.ID] = held; held && server.State == lg.Ready {
 				server.State = lg.Draining
 			}
@@ -185,7 +185,7 @@
 // reportFencing reports the progress of this proxy to the coordination group, if it has changed.
 func (s *State) reportFencing() {
 	m := s.maintenance
-	status := FencingStatus{Index: m.fence.Index(), Clear: m.fence.Clear(s.connsTo)}
+	status := FencingStatus{Index: m.fence.Index(), Clear: m.fence.ClearMarks(s.connsTo)}
 	if m.ownClear {
 		status.OwnGrant = m.ownGrant
 	}
@@ -196,7 +196,7 @@
 	}
 	// A clear server stays clear as long as it is marked, which may be days after a failure, because
 	// nothing is opened there. So nothing is polled when all are clear.
-	if len(status.Clear) < m.fence.Marks() && !m.pollScheduled {
+	if len(status.Clear) < m.fence.MarkCount() && !m.pollScheduled {
 		m.pollScheduled = true
 		s.timers.add(s.now+clearPollInterval, func() {
 			m.pollScheduled = false
--- a/internal/reducer/maintenance_test.go
+++ b/internal/reducer/maintenance_test.go
@@ -57,7 +57,7 @@
 	if s.Ready() || s.sendsTo(step, 1, now, &client) {
 		t.Error("served before the first lease")
 	}
-	facts := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, Until: now + 3*time.Second,
+	facts := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, LeaseUntil: now + 3*time.Second,
 		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
 	step(FencingUpdated{Facts: facts}, now)
 	if !s.Ready() || s.sendsTo(step, 1, now, &client) || !s.sendsTo(step, 2, now, &client) {
@@ -73,7 +73,7 @@
 	if s.sendsTo(step, 2, now, &client) || !s.sendsTo(step, 3, now, &client) {
 		t.Error("a paused process sends to a server that may be out, or not to another")
 	}
-	facts.Index, facts.Marked, facts.Named, facts.Until = 4, nil, nil, now+3*time.Second
+	facts.Index, facts.Marked, facts.Named, facts.LeaseUntil = 4, nil, nil, now+3*time.Second
 	step(FencingUpdated{Facts: facts}, now)
 	if !s.sendsTo(step, 1, now, &client) || !s.sendsTo(step, 2, now, &client) {
 		t.Error("no requests after the mark was removed and the lease renewed")
@@ -87,8 +87,8 @@
 	for _, tc := range []struct{ relist, expire bool }{{false, false}, {true, false}, {false, true}} {
 		s, step := newMaintenanceState(t)
 		now := time.Hour
-		facts := fencing.Facts[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3}, Until: now + time.Second,
-			Grace: time.Second}
+		facts := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2, 3},
+			LeaseUntil: now + time.Second, Grace: time.Second}
 		step(FencingUpdated{Facts: facts}, now)
 		step(ClientOpened{1}, now)
 		var server lg.ServerID
@@ -143,7 +143,7 @@
 func TestOwnMachineMaintenance(t *testing.T) {
 	s, step := newMaintenanceState(t)
 	now := time.Hour
-	facts := fencing.Facts[lg.ServerID]{Index: 3, Until: now + time.Minute, Grace: time.Second}
+	facts := fencing.Restrictions[lg.ServerID]{Index: 3, LeaseUntil: now + time.Minute, Grace: time.Second}
 	step(FencingUpdated{Facts: facts}, now)
 	step(ClientOpened{1}, now)
 	step(ClientOpened{2}, now)
@@ -201,7 +201,8 @@
 	if s.maintenance != nil {
 		t.Error("there is maintenance state")
 	}
-	for _, e := range s.Step(time.Hour, FencingUpdated{Facts: fencing.Facts[lg.ServerID]{Index: 1, Until: 1}}) {
+	for _, e := range s.Step(time.Hour,
+		FencingUpdated{Facts: fencing.Restrictions[lg.ServerID]{Index: 1, LeaseUntil: 1}}) {
 		if e.Do == ReportFencing {
 			t.Error("facts were applied")
 		}
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -145,7 +145,7 @@
 	effect := Effect{Do: Forward, Conn: ConnID(conn.ID), Client: attempt.req.client.id,
 		Payload: attempt.req.payload, At: deadline, StartBy: attempt.startBy}
 	if s.maintenance != nil {
-		if until := s.maintenance.fence.Until(conn.Server.ID); until > 0 &&
+		if until := s.maintenance.fence.LeaseUntil(conn.Server.ID); until > 0 &&
 			(effect.StartBy == 0 || until < effect.StartBy) {
 			effect.StartBy = until
 		}
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -102,7 +102,7 @@
 	// factsUpdated brings the coordination group's decisions on machines. Own is the grant by which this
 	// proxy's own machine is taken out; 0: it is not.
 	factsUpdated struct {
-		facts fencing.Facts[lg.ServerID]
+		facts fencing.Restrictions[lg.ServerID]
 		own   uint64
 	}
 	serveFailed struct{ err error } // netpoll's event loop has ended
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -29,7 +29,7 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.settings.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(facts fencing.Facts[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
+		Facts: func(facts fencing.Restrictions[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
 	return err
 }
 
@@ -76,15 +76,15 @@
 		now.rejected += handled.Dropped
 	}
 	load := coordination.Load{Handled: now.handled - p.lastPublished.handled,
-		Refused: now.rejected - p.lastPublished.rejected}
+		Shed: now.rejected - p.lastPublished.rejected}
 	for _, room := range figures.Headroom {
-		load.Busy += float64(room.InFlight)
+		load.InFlight += float64(room.InFlight)
 		name, ok := now.serverNames[room.Server]
 		if room.Ejected && ok {
-			load.Avoids = append(load.Avoids, name)
+			load.Ejected = append(load.Ejected, name)
 		}
 		if ok {
-			load.Rooms = append(load.Rooms, coordination.Room{Machine: name, Most: room.MaxInFlight})
+			load.Capacities = append(load.Capacities, coordination.Capacity{Machine: name, Requests: room.MaxInFlight})
 		}
 	}
 	for _, id := range figures.HotKeyServers {
