--- a/internal/sendguard/sendguard.go
+++ b/internal/sendguard/sendguard.go
@@ -1,7 +1,7 @@
-// Package sendguard holds the conditions under which the proxy may send an attempt to a server, end a
-// client's connection and give an answer: one place that every path passes last, whatever decided before it.
-// What it turns down is not done; what it finds broken is counted, so that a fault of the program shows on
-// any day. It is pure.
+// Package sendguard checks invariants before the proxy sends an attempt to a server, closes a
+// client's connection or answers a request. Every code path passes these checks last, whatever
+// decided before. An attempt that would violate a rule is not sent, and violations are counted, so
+// that a programming error shows in production. The package is pure.
 package sendguard
 
 import (
@@ -10,34 +10,35 @@
 	lg "lilacglade"
 )
 
-// Rule is a condition that was found broken.
+// Rule is an invariant.
 type Rule uint8
 
-// The rules. Each stands for a fault of the program: other parts see to it that none is ever broken.
+// The rules, by how they are violated. A violation is always a programming error: other code ensures
+// that none occurs.
 const (
 	None        Rule = iota
-	Drained          // a server that drains or is gone would get something new
-	Ended            // a request would be sent that has its final answer, or whose client has left
-	AtOnce           // a second attempt would be out beside the first
-	Repeated         // what may have run would be repeated where that does harm
-	Overdue          // a request got its final answer after its client had given up
-	Abandoned        // a client's connection would be closed while an answer is owed on it
-	Unconfirmed      // something would be sent by a server list that does not count yet
-	Expired          // something would be sent by a server list that may be out of date
-	rules
+	Drained          // an attempt to a server that is draining or gone
+	Ended            // an attempt for a request that has its final answer, or whose client has left
+	AtOnce           // a second attempt while the first is pending
+	Repeated         // a repeat that is not safe after an attempt that may have run
+	Overdue          // a final answer after the client has given up
+	Abandoned        // a client's connection closed while an answer is due on it
+	Unconfirmed      // an attempt by a server list that is not confirmed yet
+	Expired          // an attempt by a server list that may be out of date
+	ruleCount
 )
 
-// Names are the rules' names in operators' figures.
-var Names = [rules]string{"none", "drained", "ended", "at_once", "repeated", "overdue", "abandoned",
+// Names are the rules' names in metrics.
+var Names = [ruleCount]string{"none", "drained", "ended", "at_once", "repeated", "overdue", "abandoned",
 	"unconfirmed", "expired"}
 
-// String is the rule's name in operators' figures.
+// String returns the rule's name in metrics.
 func (r Rule) String() string { return Names[r] }
 
-// Counts are violations by rule.
-type Counts [rules]uint64
+// Counts holds the number of violations of each rule.
+type Counts [ruleCount]uint64
 
-// Total is how many violations there were.
+// Total returns the number of all violations.
 func (c *Counts) Total() (total uint64) {
 	for _, n := range c {
 		total += n
@@ -45,10 +46,10 @@
 	return total
 }
 
-// Location is where a server stands, for the repeats of keyed requests.
+// Location is the zone and cell of a server, which limit where keyed requests may be repeated.
 type Location struct{ Zone, Cell int }
 
-// PriorAttempt is the first attempt of a request that may have run.
+// PriorAttempt is the first attempt of a request that the server may have executed.
 type PriorAttempt struct {
 	SentAt   time.Duration // when it was sent
 	Location Location
@@ -57,18 +58,18 @@
 // Attempt is an attempt that is about to be written to a server.
 type Attempt struct {
 	Now      time.Duration
-	State    lg.State // of the server, as it counts as told
+	State    lg.State // of the server, according to the notified server list
 	Location Location
 	Class    lg.Class
 	Ended    bool          // the request has its final answer, or its client has left
-	AtOnce   bool          // another attempt is out
+	AtOnce   bool          // another attempt is pending
 	Prior    *PriorAttempt // nil: none may have run
-	// Unconfirmed: lists are pushed, and this process has not heard of one yet
+	// Unconfirmed is set if lists are pushed, and this process has not received one yet.
 	Unconfirmed bool
 	Expired     bool // the lease of the server list has run out
 }
 
-// Check tells which rule the attempt would break, None if it may be sent.
+// Check returns the rule that the attempt would violate, None if it may be sent.
 func Check(a Attempt) Rule {
 	switch {
 	case a.State != lg.Ready:
@@ -87,7 +88,7 @@
 	return None
 }
 
-// repeatable tells whether the attempt does no harm beside one that may have run.
+// repeatable reports whether the attempt is safe after one that may have run.
 func repeatable(a Attempt) bool {
 	switch a.Class.Effect {
 	case lg.Safe:
@@ -98,7 +99,7 @@
 	return false
 }
 
-// sameGroup tells whether two servers know of each other which keys have run.
+// sameGroup reports whether two servers share the keys of requests they have executed.
 func sameGroup(g lg.Group, a, b Location) bool {
 	switch g {
 	case lg.GroupZone:
