--- a/internal/listcalls/listcalls.go
+++ b/internal/listcalls/listcalls.go
@@ -20,36 +20,45 @@
 const NotifiedAfter = 6 * time.Second
 
 const (
-	answerPause       = 100 * time.Millisecond  // from the start of an answered call to the next call
-	answerPauseFailed = 20 * time.Millisecond   // the same where calls have failed recently
-	pushRetryPause    = 20 * time.Millisecond   // after a failed call for a pushed list, at least
-	retriesPerGrace   = 3                       // repeats of a failed call for a pushed list in a drain's grace
-	maxOverloaded     = 4 * time.Second         // limits the interval of calls to an overloaded service
-	overloadedPart    = 0.8                     // of the poll interval: limits the interval between such calls
-	minRetryInterval  = 400 * time.Millisecond  // between the starts of two calls that fail
-	maxRetryInterval  = 2 * time.Second         // leaves the rest of NotifiedAfter for the answers
-	defaultGrace      = 250 * time.Millisecond  // a drain's grace where the settings have none
-	newWatchPause     = 300 * time.Millisecond  // a call after this is a new watch and does not continue one
-	maxFirstSpread    = 2 * time.Second         // limits the spread of the first calls of starting processes
-	minCallCost       = time.Millisecond        // of the list service's time for one call
-	defaultCallCost   = 100 * time.Millisecond  // the same before it was measured
-	costMargin        = 1.25                    // times the cost of all proxies' calls is the interval of calls
-	processingFactor  = 8                       // the pause after an answer is this times its processing time,
-	maxProcessing     = 150 * time.Millisecond  // up to this: a watch continues for 200 ms without a call
-	jitterFraction    = 0.4                     // width of the random variation, in terms of the retry interval
-	minWaitFraction   = 0.1                     // of the full wait: at least for a watch
-	maxWaitFailed     = 3500 * time.Millisecond // wait of a watch after failed calls
-	defaultWait       = 10 * time.Second        // wait of a watch where the settings have no poll interval
-	pushedWait        = 4 * time.Second         // the same for pushed lists: an answer without changes is free
-	// The protocol counts what an unanswered watch misses as notified 2 s after its wait, or NotifiedAfter after
-	// its start if that is later. The watch times out well before that, to leave time for the next call, and for
-	// one more if that is not answered either.
-	minSilence       = 500 * time.Millisecond  // from the end of a watch's wait to its timeout, for few proxies
-	maxSilence       = 1200 * time.Millisecond // the same for many, whose watches end one after another
-	silenceDivisor   = 8                       // in between, the cost of all proxies' calls over this
+	answerPause             = 100 * time.Millisecond // from the start of an answered call to the next call
+	answerPauseAfterFailure = 20 * time.Millisecond  // the same where calls have failed recently
+	// A failed call for a pushed list is repeated after pushRetryPause, or after 1/retriesPerGrace of
+	// the drain's grace if that is longer.
+	pushRetryPause  = 20 * time.Millisecond
+	retriesPerGrace = 3
+	// The time between two answered calls of an overloaded service is at most maxOverloadedInterval, and
+	// overloadedFraction of the poll interval.
+	maxOverloadedInterval = 4 * time.Second
+	overloadedFraction    = 0.8
+	minRetryInterval      = 400 * time.Millisecond // between the starts of two calls that fail
+	maxRetryInterval      = 2 * time.Second        // leaves the rest of NotifiedAfter for the answers
+	defaultGrace          = 250 * time.Millisecond // a drain's grace where the settings have none
+	newWatchPause         = 300 * time.Millisecond // a call after this starts a new watch
+	maxFirstSpread        = 2 * time.Second        // limits the spread of the first calls of all proxies
+	minCallCost           = time.Millisecond       // service time of a call, at least
+	defaultCallCost       = 100 * time.Millisecond // service time of a call before one was measured
+	// The interval between a proxy's calls is costMargin times the service time of a call of each proxy.
+	costMargin = 1.25
+	// The pause after an answer is processingFactor times its processing time, at most maxProcessingPause: a
+	// watch continues for 200 ms without a call.
+	processingFactor    = 8
+	maxProcessingPause  = 150 * time.Millisecond
+	jitterFraction      = 0.4                     // width of the random variation of a retry interval
+	minWaitFraction     = 0.1                     // of the maximum wait: the shortest wait of a watch
+	maxWaitAfterFailure = 3500 * time.Millisecond // wait of a watch after failed calls
+	defaultWait         = 10 * time.Second        // wait of a watch where the settings have no poll interval
+	pushedWait          = 4 * time.Second         // the same for pushed lists: an answer without changes is free
+	// The protocol counts what an unanswered watch misses as notified 2 s after its wait, or
+	// NotifiedAfter after its start if that is later. The watch times out well before that, to leave
+	// time for the next call, and for one more if that is not answered either: after the service time
+	// of a call of each proxy, divided by silenceDivisor, since the watches of many proxies end one
+	// after another. minSilence and maxSilence limit it.
+	minSilence       = 500 * time.Millisecond
+	maxSilence       = 1200 * time.Millisecond
+	silenceDivisor   = 8
 	minAnswerTimeout = 1200 * time.Millisecond // of a call that doesn't wait, at a fast service
 	maxAnswerTimeout = 4 * time.Second         // and at any other, which answers calls sequentially
-	waitTolerance    = 20 * time.Millisecond   // services round waits to whole milliseconds
+	waitTolerance    = 20 * time.Millisecond   // services count waits in whole milliseconds
 	lagFactor        = 4                       // the timeout of a call is this times the recent lag
 )
 
@@ -81,24 +90,24 @@
 // Schedule decides on the calls of one proxy, of which one is pending at a time. Create it with New; it must
 // be used by one goroutine only.
 type Schedule struct {
-	cfg          Config
-	rng          *rand.Rand
-	number       int
-	pending      bool
-	start        time.Duration // of the last call
-	wait         time.Duration // of the last call
-	callCost     time.Duration // service time of a call: that of the fastest call without a wait; 0: not known
-	maxFailTime  time.Duration // the longest time after which a call failed, as in a queue
-	versionKnown bool          // the next call may wait for changes
-	staggered    bool          // this proxy's watches end in its turn: there was no change since
-	lag          time.Duration // recent time to an answer, beyond the wait that calls were allowed
-	lagKnown     bool
-	lease        Lease
-	connected    bool          // a connection for the pending call has been established
-	overloaded   bool          // a call has failed, or two timed out in a row, since the last answer
-	lastFailure  time.Duration // time at which a call last failed or timed out; 0: never
-	failures     int           // calls that failed or timed out since the last answer
-	timeouts     int           // calls that timed out since the last answer or failure
+	cfg              Config
+	rng              *rand.Rand
+	number           int
+	pending          bool
+	start            time.Duration // of the last call
+	wait             time.Duration // of the last call
+	callCost         time.Duration // service time of a call: the shortest without a wait; 0: not known
+	maxTimeToFailure time.Duration // the longest time after which a call failed, as in a queue
+	versionKnown     bool          // the next call may wait for changes
+	staggered        bool          // this proxy's watches end in its turn: there was no change since
+	lag              time.Duration // recent time to an answer, beyond the wait that calls were allowed
+	lagKnown         bool
+	lease            Lease
+	connected        bool          // a connection for the pending call has been established
+	overloaded       bool          // a call has failed, or two timed out in a row, since the last answer
+	lastFailure      time.Duration // time at which a call last failed or timed out; 0: never
+	failures         int           // calls that failed or timed out since the last answer
+	timeouts         int           // calls that timed out since the last answer or failure
 }
 
 // New returns the schedule of a proxy that has made no call yet.
@@ -179,7 +188,7 @@
 	case s.timeouts > 0:
 		return 0
 	case s.failures > 0 && s.cfg.Polled:
-		return min(s.maxWait(), maxWaitFailed)
+		return min(s.maxWait(), maxWaitAfterFailure)
 	}
 	return s.watchWait()
 }
@@ -209,7 +218,7 @@
 	s.failures++
 	s.lastFailure, s.overloaded, s.staggered = now, true, false
 	if took := now - s.start; took <= maxAnswerTimeout {
-		s.maxFailTime = max(s.maxFailTime, took)
+		s.maxTimeToFailure = max(s.maxTimeToFailure, took)
 	}
 	switch {
 	case !s.cfg.Polled:
@@ -252,9 +261,9 @@
 	case overloaded && s.fleetOverloads():
 		next = max(now+newWatchPause, s.start+s.overloadedInterval())
 	case s.lastFailure > 0 && now-s.lastFailure < s.maxWait():
-		next = s.start + answerPauseFailed
+		next = s.start + answerPauseAfterFailure
 	}
-	return max(now+min(processingFactor*a.ProcessingTime, maxProcessing), next)
+	return max(now+min(processingFactor*a.ProcessingTime, maxProcessingPause), next)
 }
 
 // fleetOverloads reports whether the calls of all proxies keep the service busy for longer than a drain's
@@ -272,7 +281,7 @@
 // notified at once, and the service would not return it in time.
 func (s *Schedule) overloadedInterval() time.Duration {
 	needed := time.Duration(costMargin * float64(s.fleetCost()))
-	return min(needed, maxOverloaded, time.Duration(overloadedPart*float64(s.maxWait())))
+	return min(needed, maxOverloadedInterval, time.Duration(overloadedFraction*float64(s.maxWait())))
 }
 
 // fleetCost is how long the service takes for one call of each proxy.
@@ -291,7 +300,7 @@
 	}
 	least := max(minAnswerTimeout, s.callCost*time.Duration(s.cfg.Proxies)) <<
 		min(max(0, s.timeouts-1), maxDoublings)
-	return min(max(lagFactor*s.lag, least, s.maxFailTime+waitTolerance), maxAnswerTimeout)
+	return min(max(lagFactor*s.lag, least, s.maxTimeToFailure+waitTolerance), maxAnswerTimeout)
 }
 
 // maxDoublings limits how often a timeout is doubled, besides the limit on the timeout itself.
--- a/internal/listcalls/listcalls_test.go
+++ b/internal/listcalls/listcalls_test.go
@@ -67,7 +67,7 @@
 	return until
 }
 
-// between returns whether a time is in [from, to).
+// between returns a function that reports whether a time is in [from, to).
 func between(from, to time.Duration) func(time.Duration) bool {
 	return func(now time.Duration) bool { return now >= from && now < to }
 }
@@ -78,9 +78,9 @@
 func TestReceivedInTime(t *testing.T) {
 	const start, margin = 60 * second, second
 	for _, proxies := range []int{1, 2, 3, 4, 6, 8, 12, 16, 20, 24, 25, 40, 83, 300} {
-		for me := range proxies {
+		for index := range proxies {
 			cfg := Config{Polled: true, PollInterval: 10 * second, DrainGrace: 250 * time.Millisecond,
-				Index: me, Proxies: proxies}
+				Index: index, Proxies: proxies}
 			for _, outage := range []time.Duration{20 * time.Millisecond, second, 3 * second, 4 * second, 8 * second,
 				13 * second, 30 * second, 60 * second, 10 * time.Minute} {
 				back := start + outage
@@ -94,19 +94,19 @@
 	}
 }
 
-// TestUnansweredCalls checks that a change is received in time although calls are never answered. What the
-// first of them misses counts as notified 2 s after its wait, or NotifiedAfter after its start if that is
-// later. The rule holds for every fleet after one such call, and after two in a row where the service can
-// answer all proxies within seconds.
+// TestUnansweredCalls checks that a change is received in time although calls are never answered.
+// What the first of them misses counts as notified NotifiedAfter after the change, or 2 s after the
+// wait of the call if that is later. The rule holds for every fleet after one such call, and after
+// two in a row where the service can answer all proxies within seconds.
 func TestUnansweredCalls(t *testing.T) {
-	for _, every := range []time.Duration{second, 1500 * time.Millisecond, 2 * second, 5 * second, 10 * second,
-		30 * second} {
+	for _, pollInterval := range []time.Duration{second, 1500 * time.Millisecond, 2 * second, 5 * second,
+		10 * second, 30 * second} {
 		for _, proxies := range []int{1, 4, 8, 20, 60, 300, 900} {
 			for _, inARow := range []int{1, 2} {
 				if inARow == 2 && proxies >= 60 {
 					continue // watches of so many proxies time out later: the lease ends first
 				}
-				cfg := Config{Polled: true, PollInterval: every, DrainGrace: 250 * time.Millisecond,
+				cfg := Config{Polled: true, PollInterval: pollInterval, DrainGrace: 250 * time.Millisecond,
 					Index: proxies / 2, Proxies: proxies}
 				for first := 2; first < 5; first++ {
 					silent := func(call int) bool { return call >= first && call < first+inARow }
@@ -115,8 +115,8 @@
 					notified := max(changed+NotifiedAfter, start+wait+2*second)
 					got := received(t, cfg, service{silent: silent, changed: changed}, time.Hour)
 					if got > notified-200*time.Millisecond {
-						t.Errorf("every %v, %d proxies, %d silent from call %d: received %v after it counts as notified", every,
-							proxies, inARow, first, got-notified)
+						t.Errorf("poll interval %v, %d proxies, %d silent from call %d: received %v too late",
+							pollInterval, proxies, inARow, first, got-notified)
 					}
 				}
 			}
@@ -160,8 +160,8 @@
 	const maxRate = 0.5 // calls per second and proxy
 	for _, proxies := range []int{60, 150, 300, 900} {
 		var started [seconds]int // calls, by second
-		for me := range proxies {
-			calls := New(Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies})
+		for index := range proxies {
+			calls := New(Config{Polled: true, PollInterval: 10 * second, Index: index, Proxies: proxies})
 			calls.SetVersionKnown(true)
 			calls.Begin(0)
 			for now := calls.Failed(5 * second); now < seconds*second; now = calls.Failed(now + 2*second) {
@@ -178,12 +178,12 @@
 				t.Errorf("%d proxies: %d calls from second %d on, at most %.0f: %v", proxies, n, at, limit, started)
 			}
 		}
-		for _, me := range []int{0, proxies / 2, proxies - 1} {
-			cfg := Config{Polled: true, PollInterval: 10 * second, Index: me, Proxies: proxies}
+		for _, index := range []int{0, proxies / 2, proxies - 1} {
+			cfg := Config{Polled: true, PollInterval: 10 * second, Index: index, Proxies: proxies}
 			back := 90 * second
 			got := received(t, cfg, service{down: between(60*second, back), changed: back}, back+20*second)
 			if got-back > NotifiedAfter {
-				t.Errorf("proxy %d of %d: received %v after the service's return", me, proxies, got-back)
+				t.Errorf("proxy %d of %d: received %v after the service's return", index, proxies, got-back)
 			}
 		}
 	}
--- a/internal/pool/idlehistogram.go
+++ b/internal/pool/idlehistogram.go
@@ -23,6 +23,7 @@
 	countDecay     = 0.998 // factor on all counts at each sweep
 )
 
+// bucketIndex is the bucket of an idle time: bucket i holds times from 2^(i-1) ms to below 2^i ms.
 func bucketIndex(idle time.Duration) int { return bits.Len64(uint64(max(0, idle.Milliseconds()))) }
 
 // add counts an exchange on a connection that had been idle for some time.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -430,6 +430,7 @@
 	return oldest != nil
 }
 
+// assign assigns a connection to a ticket.
 func (p *Pool[T]) assign(now time.Duration, c *Conn[T], t T) {
 	c.IdleFor = 0
 	if c.phase == idle {
@@ -514,6 +515,7 @@
 	p.resolveStranded(now, c.Server)
 }
 
+// closeConn closes a connection and removes it.
 func (p *Pool[T]) closeConn(c *Conn[T], cause int) {
 	p.emit(Action[T]{Kind: Close, Conn: c})
 	p.remove(c, cause)
@@ -525,6 +527,7 @@
 	p.resolveStranded(now, c.Server)
 }
 
+// remove removes a connection that is closed, for one of the causes of CloseCauses.
 func (p *Pool[T]) remove(c *Conn[T], cause int) {
 	s := c.Server
 	p.conns--
