--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -20,9 +20,9 @@
 // Config is the configuration of a Coordinator, fixed from its start.
 type Config struct {
 	Name          string
-	Incarnation   uint64 // identifies this process; never reused
-	Addr          string // address on which it listens for its peers
-	InitialVoters []string
+	Incarnation   uint64        // identifies this process; never reused
+	Addr          string        // address on which it listens for its peers
+	InitialVoters []string      // their names; the first one creates the log
 	Peers         []string      // all configured peers, without this proxy
 	Grace         time.Duration // longest time that a request may take
 	Seed          uint64
@@ -32,14 +32,14 @@
 	// AloneAfter is the time without a lease after which the proxy serves all machines nevertheless, although
 	// it can't know which of them are out for maintenance; 0: never.
 	AloneAfter time.Duration
-	// Level is the protocol level of this program; 0: LevelNow. Only simulations of two versions set it.
+	// Level is the protocol level of this program; 0: LevelNow. Only tests of two versions set it.
 	Level uint64
 
 	Disabled SafetyCheck // check that a simulation disables, to show what it prevents
 
-	ID, Boot uint64 // identity on the disk, and the number of its current start
-	Saved    consensus.Saved
-	Note     []byte
+	ID, Boot uint64          // identity on the disk, and the number of its current start
+	Saved    consensus.Saved // content of the log on the disk
+	Note     []byte          // encoded DurableRecord on the disk; empty if none
 }
 
 // SafetyCheck is a check that a simulation can disable.
@@ -47,15 +47,15 @@
 
 // The safety checks, each with what happens while it is disabled.
 const (
-	None              SafetyCheck = iota
-	ConfirmLeadership             // a leader answers renewals without confirmation by a majority
-	LeadWait                      // a new leader assumes that the previous leader's leases have expired
-	LeaseWait                     // a lease counts as expired as soon as one renewal is late
-	GraceWait                     // requests open at the end of a lease count as completed at once
-	LeaseFromSendTime             // a lease counts from the arrival of the answer, not from the request
-	CompareBoots                  // an older copy of a disk may vote
-	ReportResumeIndex             // a participant that resumes from its durable record does not report it
-	LevelWait                     // entries that older programs don't understand are proposed
+	None              SafetyCheck = iota // no check is disabled
+	ConfirmLeadership                    // a leader answers renewals without confirmation by a majority
+	LeadWait                             // a new leader assumes that the previous leader's leases have expired
+	LeaseWait                            // a lease counts as expired as soon as one renewal is late
+	GraceWait                            // requests open at the end of a lease count as completed at once
+	LeaseFromSendTime                    // a lease counts from the arrival of the answer, not from the request
+	CompareBoots                         // an older copy of a disk may vote
+	ReportResumeIndex                    // a participant that resumes from its durable record does not report it
+	LevelWait                            // entries that older programs don't understand are proposed
 )
 
 // Coordinator is the state of one proxy in the coordination group. New creates it. It is not safe for
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -130,8 +130,8 @@
 		Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
 }
 
-// TestLeaseCountsFromRequest covers a renewal whose answer arrives late. A lease that counted from the
-// arrival would outlast the leader's assumption of its expiry.
+// TestLeaseCountsFromRequest covers a renewal whose answer arrives late. A lease that counted from its
+// arrival would end later than the leader assumes.
 func TestLeaseCountsFromRequest(t *testing.T) {
 	for _, disabled := range []SafetyCheck{None, LeaseFromSendTime} {
 		b := newTestGroup(t, 4, disabled)
--- a/internal/coordination/messages.go
+++ b/internal/coordination/messages.go
@@ -43,9 +43,9 @@
 // Renew requests or renews a lease.
 type Renew struct {
 	Seq          uint64             `cbor:"1,keyasint"`
-	KnownIndex   uint64             `cbor:"2,keyasint"` // index of the state that it knows and enforces
-	Clear        []maintenance.Mark `cbor:"3,keyasint,omitempty"`
-	Grace        time.Duration      `cbor:"4,keyasint"`
+	KnownIndex   uint64             `cbor:"2,keyasint"`           // index of the state that it enforces
+	Clear        []maintenance.Mark `cbor:"3,keyasint,omitempty"` // marks of machines where it has nothing open
+	Grace        time.Duration      `cbor:"4,keyasint"`           // longest time that its requests may take
 	Leaving      bool               `cbor:"5,keyasint,omitempty"` // it has nothing open any more
 	Handled      uint64             `cbor:"6,keyasint,omitempty"` // requests since the previous renewal
 	Shed         uint64             `cbor:"7,keyasint,omitempty"` // requests of Handled that were shed
@@ -70,13 +70,13 @@
 	Seq           uint64             `cbor:"1,keyasint,omitempty"`
 	Duration      time.Duration      `cbor:"2,keyasint,omitempty"`
 	RenewInterval time.Duration      `cbor:"3,keyasint,omitempty"` // interval between renewals
-	Grace         time.Duration      `cbor:"4,keyasint,omitempty"`
+	Grace         time.Duration      `cbor:"4,keyasint,omitempty"` // longest Grace of any participant ever
 	Index         uint64             `cbor:"5,keyasint,omitempty"` // index of the state that follows; 0: none
-	Named         []string           `cbor:"6,keyasint,omitempty"`
-	Marked        []maintenance.Mark `cbor:"7,keyasint,omitempty"`
+	Named         []string           `cbor:"6,keyasint,omitempty"` // machines that may go out
+	Marked        []maintenance.Mark `cbor:"7,keyasint,omitempty"` // machines to which nothing new may be sent
 	Voters        []Voter            `cbor:"8,keyasint,omitempty"`
-	Leader        string             `cbor:"9,keyasint,omitempty"` // leader's name, as far as the sender knows
-	Left          bool               `cbor:"10,keyasint,omitempty"`
+	Leader        string             `cbor:"9,keyasint,omitempty"`  // leader's name, as far as the sender knows
+	Left          bool               `cbor:"10,keyasint,omitempty"` // the participant has left
 	// Retire says that the participant's disk is older than its earlier messages.
 	Retire bool `cbor:"11,keyasint,omitempty"`
 	// RenewNow says that the participant had received no answers recently and may renew at once.
--- a/internal/coordination/participant.go
+++ b/internal/coordination/participant.go
@@ -14,7 +14,7 @@
 	maxReportedMachines    = 16                     // ejected machines, and machines with a hot key
 	capacitiesPerRenewal   = 16                     // reported in round-robin order
 	maxOutstandingRenewals = 16                     // latest renewals whose answers are accepted
-	otherPeersInterval     = 3                      // every third attempt: another peer, a voter by now
+	otherPeersInterval     = 3                      // every third attempt goes to another peer
 )
 
 // participant is the state of this proxy as a lease holder that sends to machines.
@@ -151,7 +151,8 @@
 			otherPeers = append(otherPeers, n)
 		}
 	}
-	// Prefer probable voters over going through hundreds of peers that don't know the leader.
+	// Prefer probable voters over going through hundreds of peers that don't know the leader. The other
+	// peers get only a share of the attempts; one of them may be a voter by now.
 	names := probableVoters
 	if len(probableVoters) == 0 || len(otherPeers) > 0 && attempt%otherPeersInterval == otherPeersInterval-1 {
 		names, attempt = otherPeers, attempt/otherPeersInterval
