--- a/internal/reducer/maintenance_test.go
+++ b/internal/reducer/maintenance_test.go
@@ -57,8 +57,9 @@
 	if s.Ready() || s.sendsTo(step, 1, now, &client) {
 		t.Error("served before the first lease")
 	}
-	facts := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2}, LeaseUntil: now + 3*time.Second,
-		Grace: time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
+	facts := fencing.Restrictions[lg.ServerID]{Index: 3, Named: []lg.ServerID{1, 2},
+		LeaseUntil: now + 3*time.Second,
+		Grace:      time.Second, Marked: []fencing.Mark[lg.ServerID]{{Machine: 1, Grant: 2}}}
 	step(FencingUpdated{Facts: facts}, now)
 	if !s.Ready() || s.sendsTo(step, 1, now, &client) || !s.sendsTo(step, 2, now, &client) {
 		t.Error("a marked server gets requests, or a named one none")
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -29,7 +29,9 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.settings.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(facts fencing.Restrictions[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
+		Facts: func(facts fencing.Restrictions[lg.ServerID], own uint64) {
+			p.inbox.post(factsUpdated{facts, own})
+		}})
 	return err
 }
 
