--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -11,25 +11,26 @@
 	"lilacglade/internal/settings"
 )
 
-// read returns a request of one class with the given lines in its head.
-func read(lines string) (reducer.Event, bool) {
+// parseRequest returns a request of one class with the given lines in its head.
+func parseRequest(lines string) (reducer.Event, bool) {
 	set := settings.Settings{Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}}
-	var p http1.Parser
-	p.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" + lines + "\r\n"))
-	m, err := p.Next()
-	if err != nil || m == nil {
+	var parser http1.Parser
+	parser.Feed([]byte("GET /api HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nRequest-Class: look\r\n" +
+		lines + "\r\n"))
+	message, err := parser.Next()
+	if err != nil || message == nil {
 		return nil, false
 	}
-	return asked(&set, false, 1, m, 0), true
+	return requestEvent(&set, false, 1, message, 0), true
 }
 
-// TestHintReachesTheModule guards against hints that never arrive, and against optional fields that turn a
-// request away: what is no estimate of work is as if absent.
-func TestHintReachesTheModule(t *testing.T) {
+// TestWorkHintReachesBalancer checks that valid hints arrive at the Balancer, and that a malformed
+// optional field counts as absent instead of causing a rejection.
+func TestWorkHintReachesBalancer(t *testing.T) {
 	for lines, want := range map[string]time.Duration{
 		"":                                       0,
 		"Work-Hint: 53000\r\n":                   53 * time.Millisecond,
-		"work-hint:  1.5 \r\n":                   1500 * time.Nanosecond,
+		"work-hint: 1.5 \r\n":                    1500 * time.Nanosecond,
 		"Work-Hint: 0\r\n":                       0,
 		"Work-Hint: -5\r\n":                      0,
 		"Work-Hint: lots\r\n":                    0,
@@ -40,38 +41,38 @@
 		"Work-Hint: 5\r\nWork-Hint: 6\r\n":       0,
 		"Work-Hint: \r\nRequest-Info: a=b,=\r\n": 0,
 	} {
-		ev, ok := read(lines)
-		asked, took := ev.(reducer.CallerAsked)
-		if !ok || !took || asked.Cost != want {
-			t.Errorf("%q: got %+v, want a request of %v", lines, ev, want)
+		event, ok := parseRequest(lines)
+		asked, isRequest := event.(reducer.RequestReceived)
+		if !ok || !isRequest || asked.Cost != want {
+			t.Errorf("%q: got %+v, want a request of %v", lines, event, want)
 		}
 	}
 	var got lg.Request
-	s, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: spy{&got},
+	state, err := reducer.New(reducer.Config{MaxClients: 4, MaxServerConns: 4, Decider: requestRecorder{&got},
 		Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev, _ := read("Work-Hint: 53000\r\n")
-	s.Step(0, reducer.CallerOpened{Leg: 1})
-	if s.Step(0, ev); got.Cost != 53*time.Millisecond {
-		t.Errorf("the module was told %v", got.Cost)
+	event, _ := parseRequest("Work-Hint: 53000\r\n")
+	state.Step(0, reducer.ClientOpened{Conn: 1})
+	if state.Step(0, event); got.Cost != 53*time.Millisecond {
+		t.Errorf("the Balancer received %v", got.Cost)
 	}
 }
 
-// spy keeps the requests that it is given.
-type spy struct{ got *lg.Request }
+// requestRecorder stores the last request that it is given.
+type requestRecorder struct{ got *lg.Request }
 
-func (s spy) Handle(_ time.Duration, ev lg.Event) []lg.Action {
-	if r, ok := ev.(lg.Request); ok {
-		*s.got = r
+func (s requestRecorder) Handle(_ time.Duration, event lg.Event) []lg.Action {
+	if request, ok := event.(lg.Request); ok {
+		*s.got = request
 	}
 	return nil
 }
 
-// FuzzAsked checks that whatever an optional field holds, a request that is read is taken, with no work that
-// can't be.
-func FuzzAsked(f *testing.F) {
+// FuzzRequestEvent checks that a request is accepted whatever an optional field holds, and that its
+// work is within the limits.
+func FuzzRequestEvent(f *testing.F) {
 	f.Add("Work-Hint", "12")
 	f.Add("Work-Hint", "-0x1p9")
 	f.Add("Request-Info", "zone=,=,,")
@@ -83,12 +84,12 @@
 		default:
 			return
 		}
-		ev, ok := read(name + ": " + value + "\r\n")
+		event, ok := parseRequest(name + ": " + value + "\r\n")
 		if !ok || strings.ContainsAny(value, "\r\n") {
 			return
 		}
-		if a, ok := ev.(reducer.CallerAsked); !ok || a.Cost < 0 || a.Cost > maxHint {
-			t.Errorf("%s: %q gives %+v", name, value, ev)
+		if request, ok := event.(reducer.RequestReceived); !ok || request.Cost < 0 || request.Cost > maxWorkHint {
+			t.Errorf("%s: %q gives %+v", name, value, event)
 		}
 	})
 }
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -1,6 +1,6 @@
-// Package transport is the proxy's sockets: it turns bytes into the reducer's events and carries
-// out the effects that the reducer asks for. One goroutine runs the reducer and never waits
-// for a socket; reading, writing and dialing happen round it, on netpoll.
+// Package transport is the proxy's socket layer. It turns bytes into the reducer's events and
+// executes the effects that the reducer returns. One goroutine runs the reducer and never waits for
+// a socket; reading, writing and dialing run on other goroutines, on netpoll.
 package transport
 
 import (
@@ -22,154 +22,163 @@
 	"lilacglade/internal/settings"
 )
 
-// Descriptors are budgeted apart, so that neither side can starve the other: some stay for
-// the listener, the poller and discovery, and of the rest callers get these parts.
+// File descriptors are divided between the two sides, so that neither can starve the other. Some
+// are reserved for the listener, the poller and discovery; clients and servers get the rest in the
+// ratio clientSocketShare : serverSocketShare.
 const (
-	spareSockets = 40
-	callerParts  = 5
-	hopParts     = 3
+	reservedSockets   = 40
+	clientSocketShare = 5
+	serverSocketShare = 3
 )
 
-// idleParts of the keep-alive limit: an idle leg to a next hop is closed after one of them,
-// well before the other side closes it under a request's hands.
-const idleParts = 4
+// idleTimeoutDivisor divides the servers' keep-alive limit: an idle server connection is closed after that
+// fraction of it. Otherwise the server might close the connection while a request is being sent.
+const idleTimeoutDivisor = 4
 
-// continueWithin is how long a caller may take to read the leave to send its body.
-const continueWithin = 10 * time.Second
+// continueTimeout limits how long a client may take to read a 100 Continue response.
+const continueTimeout = 10 * time.Second
 
-// heldWhileBusy bounds what a caller may send ahead while its request is being worked on: some
-// requests without much of a body.
-const heldWhileBusy = http1.MaxHead
+// maxPipelinedBytes limits what a client may send ahead while its request is being processed: a few
+// requests with small bodies.
+const maxPipelinedBytes = http1.MaxHead
 
-// mostEarly bounds the 1xx answers before the one that counts.
-const mostEarly = 8
+// maxInterimResponses limits the 1xx responses before the final one.
+const maxInterimResponses = 8
 
-// recvBuffer is what the kernel keeps for a leg that is not read from. netpoll's own buffers grow with
-// what it finds there at a time.
-const recvBuffer = http1.MaxBody
+// receiveBufferSize is the kernel's receive buffer of a connection in bytes: what the kernel keeps
+// of a connection that is not being read. netpoll's own buffers grow with the amount they find
+// there at a time.
+const receiveBufferSize = http1.MaxBody
 
+// proxy is one running proxy: the reducer with its inbox, the connections and the listener. Its fields are
+// owned by the reducer's goroutine.
 type proxy struct {
-	set settings.Settings
+	settings settings.Settings
 	clock
-	inbox    *inbox
-	state    *reducer.State
-	servers  *serverlist.Set
-	decoder  *serverlist.Decoder
-	watcher  *watcher
-	listener *listener
-	callers  map[reducer.LegID]*leg
-	hops     map[reducer.LegID]*leg
-	timer    *time.Timer
-	door     *admin.Door // nil: operators can't call
-	passed   bool        // the listening socket is shared with other processes of this proxy
-	serve    func()      // begins to take connections; nil once that is done
-	saver    *saver      // nil: nothing is handed over
-	windows  windows
-	limits   settings.Limits
-	stale    time.Duration // until then classes that were dropped are taken
-	done     bool
-	peers    *peers.Node // nil: it talks to no other proxy
-	loads    loads
-	observed observer
+	inbox             *inbox
+	state             *reducer.State
+	servers           *serverlist.Store
+	decoder           *serverlist.Decoder
+	watcher           *watcher
+	listener          *listener
+	clientConns       map[reducer.ConnID]*connection
+	serverConns       map[reducer.ConnID]*connection
+	timer             *time.Timer
+	adminServer       *admin.Door     // nil: no operator interface
+	socketShared      bool            // the listening socket is shared with other processes of this proxy
+	startAccepting    func()          // starts accepting connections; nil once that is done
+	handoverWriter    *handoverWriter // nil: no handover to a next process
+	buffers           bufferPool
+	limits            settings.Limits
+	staleClassesUntil time.Duration // classes that a reload dropped are accepted until then
+	done              bool
+	peers             *peers.Node // nil: this proxy has no peers
+	lastPublished     publishedLoad
+	observer          observer
 }
 
-// budget gives callers and next hops their parts of the descriptors.
-func budget(l settings.Limits) (callers, hops int) {
-	sockets := l.Sockets - spareSockets
-	return sockets * callerParts / (callerParts + hopParts), sockets * hopParts / (callerParts + hopParts)
+// connectionLimits returns the number of descriptors for clients and for servers.
+func connectionLimits(limits settings.Limits) (clients, servers int) {
+	sockets := limits.Sockets - reservedSockets
+	return sockets * clientSocketShare / (clientSocketShare + serverSocketShare),
+		sockets * serverSocketShare / (clientSocketShare + serverSocketShare)
 }
 
-// Load is the outcome of reading a new configuration.
-type Load struct {
+// Reload is the result of reading a new configuration.
+type Reload struct {
 	Node settings.Node
-	Err  error // why it was turned down; nothing of it counts then
+	Err  error // why it was rejected; Node is then ignored
 }
 
-// Serve runs the proxy until ctx ends and all it has taken is answered. What comes from reloads
-// is a new configuration. Trace may be nil.
-func Serve(ctx context.Context, node settings.Node, reloads <-chan Load,
+// Serve runs the proxy until ctx ends and all accepted requests are answered. Each value from
+// reloads is a new configuration. Trace may be nil.
+func Serve(ctx context.Context, node settings.Node, reloads <-chan Reload,
 	trace reducer.Tracer) error {
-	return ServeBy(ctx, node, reloads, Options{Trace: trace})
+	return ServeWithOptions(ctx, node, reloads, Options{Trace: trace})
 }
 
-// Options are what a proxy may have besides.
+// Options are the optional parts of a proxy.
 type Options struct {
-	Decider reducer.Decider // in place of the decision module; nil: the module
-	Trace   reducer.Tracer  // nil: none
-	Peers   *peers.Config   // nil: it talks to no other proxy
+	Decider reducer.Decider // replaces the decision module; nil: the module
+	Trace   reducer.Tracer  // nil: no trace
+	Peers   *peers.Config   // nil: this proxy has no peers
 }
 
-// ServeBy runs the proxy with options.
-func ServeBy(ctx context.Context, node settings.Node, reloads <-chan Load, o Options) error {
-	p := &proxy{set: node.Settings, clock: startClock(), inbox: newInbox(),
-		callers: map[reducer.LegID]*leg{}, hops: map[reducer.LegID]*leg{}, timer: time.NewTimer(0),
-		observed: newObserver(), decoder: new(serverlist.Decoder)}
-	p.servers = serverlist.New(p.set.ZoneNames, p.set.KindNames, p.epoch())
-	callers, hops := budget(node.Limits)
+// ServeWithOptions is Serve with options.
+func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, options Options) error {
+	p := &proxy{settings: node.Settings, clock: newClock(), inbox: newInbox(),
+		clientConns: map[reducer.ConnID]*connection{}, serverConns: map[reducer.ConnID]*connection{},
+		timer: time.NewTimer(0), observer: newObserver(), decoder: new(serverlist.Decoder)}
+	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
+	maxClients, maxServers := connectionLimits(node.Limits)
 	var err error
-	p.passed = node.Passed != ""
-	p.windows = newWindows(int64(node.Limits.MemoryMB) << 20)
-	cfg := reducer.Config{Settings: p.set.Settings, Seed: node.Seed,
-		MaxCallers: calm(callers), MaxHops: hops, IdleHops: p.set.KeepAlive / idleParts,
-		Discovery: node.Discovery, Decider: o.Decider, Trace: o.Trace, Work: o.Peers != nil,
-		Figures: node.Admin != "" || o.Peers != nil}
-	if p.passed || !p.set.AskForList {
-		cfg.Confirm = p.now() + confirmWithin
+	p.socketShared = node.Passed != ""
+	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
+	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
+		MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers,
+		ServerIdleTimeout: p.settings.KeepAlive / idleTimeoutDivisor,
+		Discovery:         node.Discovery, Decider: options.Decider, Trace: options.Trace,
+		Maintenance:    options.Peers != nil,
+		PublishMetrics: node.Admin != "" || options.Peers != nil}
+	if p.socketShared || !p.settings.AskForList {
+		cfg.ConfirmTimeout = p.now() + confirmTimeout
 	}
-	if p.passed {
-		cfg.Overlap = p.now() + overlapFor
+	if p.socketShared {
+		cfg.OverlapUntil = p.now() + overlapDuration
 	}
 	p.state, err = reducer.New(cfg)
 	if err != nil {
 		return err
 	}
-	if o.Peers != nil {
-		if err := p.join(*o.Peers, node); err != nil {
+	if options.Peers != nil {
+		if err := p.joinPeers(*options.Peers, node); err != nil {
 			return err
 		}
 	}
 	if node.Admin != "" {
-		p.door = new(admin.Door)
+		p.adminServer = new(admin.Door)
 		if p.peers != nil {
-			p.door.Work = p.peers.Work
+			p.adminServer.Work = p.peers.Work
 		}
-		if err := p.door.Listen(node.Admin); err != nil {
+		if err := p.adminServer.Listen(node.Admin); err != nil {
 			return err
 		}
 	}
-	bare, err := listen(node)
+	socket, err := listen(node)
 	if err != nil {
 		return err
 	}
-	if err := syscall.SetsockoptInt(bare.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, recvBuffer); err != nil {
-		log.Printf("the listening socket keeps its own buffer: %v", err) // no reason not to serve
+	if err := syscall.SetsockoptInt(socket.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
+		receiveBufferSize); err != nil {
+		// The proxy can serve without it.
+		log.Printf("can't set the receive buffer of the listening socket: %v", err)
 	}
-	ln := newListener(bare, callers)
+	ln := newListener(socket, maxClients)
 	p.listener, p.limits = ln, node.Limits
-	p.confined()
-	if p.passed {
-		time.AfterFunc(overlapFor, func() { p.inbox.post(alone{}) })
+	p.applyLimits()
+	if p.socketShared {
+		time.AfterFunc(overlapDuration, func() { p.inbox.post(overlapEnded{}) })
 	}
-	loop, err := netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(p.accept(ln)))
+	eventLoop, err := netpoll.NewEventLoop(onRequest, netpoll.WithOnPrepare(p.onPrepare(ln)))
 	if err != nil {
 		return err
 	}
-	p.serve = func() {
-		p.serve = nil
-		go func() { p.inbox.post(failed{loop.Serve(ln)}) }()
+	p.startAccepting = func() {
+		p.startAccepting = nil
+		go func() { p.inbox.post(serveFailed{eventLoop.Serve(ln)}) }()
 	}
 	go func() {
 		<-ctx.Done()
 		p.inbox.post(stopping{})
 	}()
 	go func() {
-		for l := range reloads {
-			p.inbox.post(reloaded{l})
+		for reload := range reloads {
+			p.inbox.post(reloaded{reload})
 		}
 	}()
-	if !p.takeOver(node) && !p.know(node.Known) {
-		// Guards against a process that never asks, since it was never told anything.
-		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
+	if !p.takeOver(node) && !p.applyKnownList(node.Known) {
+		// Without this first event the reducer would never ask discovery for a list.
+		p.step(reducer.ListReceived{List: lg.List{Kind: lg.CachedList}, NextFull: true})
 	}
 	log.Printf("%s serves on %s", node.Name, node.Listen)
 	err = p.run()
@@ -179,48 +188,48 @@
 	return err
 }
 
-type legKey struct{}
-
-// accept returns netpoll's hook for a new connection.
-func (p *proxy) accept(ln *listener) netpoll.OnPrepare {
-	var last atomic.Uint64
-	return func(conn netpoll.Connection) context.Context {
-		ln.open.Add(1)
-		g := &leg{id: reducer.LegID(last.Add(1)), caller: true, inbox: p.inbox, clock: p.clock,
-			waited: ln.since, taken: time.Now()}
-		g.attach(conn, func() { ln.open.Add(-1) })
-		p.inbox.post(accepted{g})
-		return context.WithValue(context.Background(), legKey{}, g)
+type connKey struct{}
+
+// onPrepare returns netpoll's hook for a new connection.
+func (p *proxy) onPrepare(ln *listener) netpoll.OnPrepare {
+	var lastID atomic.Uint64
+	return func(socket netpoll.Connection) context.Context {
+		ln.openConns.Add(1)
+		conn := &connection{id: reducer.ConnID(lastID.Add(1)), isClient: true, inbox: p.inbox, clock: p.clock,
+			waitingSince: ln.waitingSince, acceptedAt: time.Now()}
+		conn.attach(socket, func() { ln.openConns.Add(-1) })
+		p.inbox.post(accepted{conn})
+		return context.WithValue(context.Background(), connKey{}, conn)
 	}
 }
 
-func onRequest(ctx context.Context, conn netpoll.Connection) error {
-	return ctx.Value(legKey{}).(*leg).onRequest(ctx, conn)
+func onRequest(ctx context.Context, socket netpoll.Connection) error {
+	return ctx.Value(connKey{}).(*connection).onRequest(ctx, socket)
 }
 
-// run is the reducer's goroutine.
+// run is the loop of the reducer's goroutine.
 func (p *proxy) run() error {
 	var items []any
 	for !p.done {
-		if p.serve != nil && p.takes() {
-			p.serve()
+		if p.startAccepting != nil && p.readyToAccept() {
+			p.startAccepting()
 		}
-		p.save()
+		p.saveHandover()
 		select {
 		case <-p.inbox.wake:
 		case <-p.timer.C:
-			began := time.Now()
-			p.step(reducer.Woken{})
-			p.handled(reducer.Woken{}, began)
+			start := time.Now()
+			p.step(reducer.TimerFired{})
+			p.recordItem(reducer.TimerFired{}, start)
 		}
-		items = p.inbox.take(items)
+		items = p.inbox.takeAll(items)
 		for _, item := range items {
-			if f, ok := item.(failed); ok && !p.listener.closed.Load() {
-				return fmt.Errorf("listen: %w", f.err)
+			if failure, ok := item.(serveFailed); ok && !p.listener.closed.Load() {
+				return fmt.Errorf("listen: %w", failure.err)
 			}
-			began := time.Now()
-			p.take(item)
-			p.handled(item, began)
+			start := time.Now()
+			p.handleItem(item)
+			p.recordItem(item, start)
 		}
 		clear(items)
 	}
--- /dev/null
+++ b/internal/transport/stream.go
@@ -0,0 +1,233 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"sync"
+	"time"
+
+	"lilacglade/internal/http1"
+)
+
+// Time limits of streamed bodies.
+const (
+	uploadPauseBudget = 2 * time.Second  // total time that a client may pause,
+	minUploadRate     = 48 << 10         // bytes per second: each byte received adds to that time,
+	maxUploadPause    = 2 * time.Second  // limit of one pause, whatever was received before
+	stallTimeout      = 10 * time.Second // a side that reads or sends nothing for so long has failed
+)
+
+// streamBufferSize is the number of bytes that one body may have in transit between its two
+// connections, beyond what had arrived before streaming began.
+const streamBufferSize = 32 << 10
+
+// bufferPool limits the bytes in transit of all bodies together. A body waits for its buffer.
+type bufferPool chan []byte
+
+// streamMemoryDivisor divides the memory limit: the buffers of the pool may take that fraction of
+// it.
+const streamMemoryDivisor = 8
+
+// newBufferPool returns the pool for a memory limit in bytes.
+func newBufferPool(memory int64) bufferPool {
+	pool := make(bufferPool, max(4, memory/streamMemoryDivisor/streamBufferSize))
+	for range cap(pool) {
+		pool <- nil // allocated when it is first used
+	}
+	return pool
+}
+
+// get waits for a buffer.
+func (pool bufferPool) get() []byte {
+	if buffer := <-pool; buffer != nil {
+		return buffer
+	}
+	return make([]byte, streamBufferSize)
+}
+
+// bodyStream is a body that is copied from one connection to another as it arrives. It can be sent
+// again for as long as nothing beyond its message's part of the body has been read.
+type bodyStream struct {
+	message  *http1.Message // with the part of the body that had arrived when it was found to be large
+	source   *connection
+	length   int64 // of the body in bytes, -1 when it is not known
+	buffers  bufferPool
+	isUpload bool
+	complete bool // the reducer knows that its last byte has arrived
+	http10   bool // the receiver doesn't support chunks: the end of the connection is the end of the body
+
+	running sync.Mutex // held while it is being copied
+	body    http1.Body // decodes what follows
+	readBudget
+	mu          sync.Mutex
+	destination *connection // who receives it now, nil once it was stopped
+	consumed    bool        // it can't be sent again
+}
+
+// readBudget measures how long a client was waited for.
+type readBudget struct {
+	waited   time.Duration
+	received int64
+}
+
+// readDeadline is the time by which the next bytes must have arrived.
+func (r *readBudget) readDeadline(now time.Time) time.Time {
+	allowance := uploadPauseBudget + time.Duration(r.received)*time.Second/minUploadRate
+	return now.Add(max(0, min(allowance-r.waited, maxUploadPause)))
+}
+
+// setDestination sets the connection that the body is copied to from now on.
+func (s *bodyStream) setDestination(destination *connection) {
+	s.mu.Lock()
+	s.destination = destination
+	s.mu.Unlock()
+}
+
+// stop ends copying to a connection, unless another one is the destination by now, and reports
+// whether the body can't be sent again. Bytes that are read after this are kept.
+func (s *bodyStream) stop(destination *connection) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.destination == destination {
+		s.destination = nil
+		_ = s.source.stdConn.SetReadDeadline(pastDeadline())
+	}
+	return s.consumed
+}
+
+// isConsumed reports whether the body can't be sent again.
+func (s *bodyStream) isConsumed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.consumed
+}
+
+// isDestination reports whether the body still goes to that connection. If so and consumed is true,
+// the body can't be sent again.
+func (s *bodyStream) isDestination(destination *connection, consumed bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.consumed = s.consumed || s.destination == destination && consumed
+	return s.destination == destination
+}
+
+// Reasons for which copying a body ends.
+var (
+	errStopped    = errors.New("stopped")
+	errReceiver   = errors.New("the receiver failed")
+	errClientLeft = errors.New("the client has left")
+)
+
+// clientHungUp reports whether the client of an upload has closed its connection. While a request
+// waits nothing is read that would show it, and its body may fill the kernel's buffer, so it is
+// checked before the first byte and before the last: a server doesn't start before it has that one.
+func (s *bodyStream) clientHungUp() bool { return s.isUpload && stdConnHungUp(s.source.stdConn) }
+
+// copyTo writes a head, the part of the body that has arrived and then the rest as it arrives. It
+// returns errStopped, errReceiver, errClientLeft, or the error of the source; and the bytes that
+// followed the body. It calls onComplete when the last byte has arrived.
+func (s *bodyStream) copyTo(destination *connection, head [][]byte, onComplete func()) (
+	leftover []byte, _ error) {
+	s.running.Lock()
+	defer s.running.Unlock()
+	switch {
+	case !s.isDestination(destination, false):
+		return nil, errStopped
+	case s.clientHungUp():
+		return nil, errClientLeft
+	}
+	chunked := s.length < 0 && !s.http10
+	send := func(data []byte, last bool) error {
+		buffers := head
+		head = nil
+		switch {
+		case !chunked:
+			buffers = append(buffers, data)
+		case len(data) > 0:
+			buffers = append(buffers, http1.ChunkHead(len(data)), data, http1.ChunkEnd)
+		}
+		if chunked && last {
+			buffers = append(buffers, http1.LastChunk)
+		}
+		if err := destination.send(buffers, stallTimeout); err != nil {
+			if !s.isDestination(destination, false) {
+				return errStopped
+			}
+			return fmt.Errorf("%w: %w", errReceiver, err)
+		}
+		return nil
+	}
+	if s.body.Done {
+		onComplete()
+		return nil, send(s.message.Body, true)
+	}
+	if err := send(s.message.Body, false); err != nil {
+		return nil, err
+	}
+	buffer := s.buffers.get()
+	defer func() { s.buffers <- buffer }()
+	for !s.body.Done {
+		n, err := s.readSource(destination, buffer)
+		if n == 0 && err == io.EOF && s.body.TillClose() && !stdConnReset(s.source.stdConn) {
+			return nil, send(nil, true)
+		}
+		if n == 0 && err != nil {
+			return nil, err
+		}
+		// The body bytes of one read are sent together: a body that arrives in small chunks is not
+		// written in as many pieces.
+		data, input := buffer[:0], buffer[:n]
+		for len(input) > 0 && !s.body.Done {
+			chunk, remaining, err := s.body.Next(input)
+			if err != nil {
+				return nil, err
+			}
+			data, input = append(data, chunk...), remaining
+		}
+		leftover = append(leftover, input...)
+		if !s.isDestination(destination, true) {
+			if !s.isConsumed() {
+				s.message.Body = append(s.message.Body, data...)
+			}
+			return nil, errStopped
+		}
+		s.message.Body = nil
+		if s.body.Done {
+			if s.clientHungUp() {
+				return nil, errClientLeft
+			}
+			onComplete()
+		}
+		if len(data) == 0 && !s.body.Done {
+			continue
+		}
+		if err := send(data, s.body.Done); err != nil {
+			return nil, err
+		}
+	}
+	return leftover, nil
+}
+
+// readSource reads from the connection that the body comes from.
+func (s *bodyStream) readSource(destination *connection, buffer []byte) (int, error) {
+	now := time.Now()
+	deadline := now.Add(stallTimeout)
+	if s.isUpload {
+		deadline = s.readDeadline(now)
+	}
+	if err := s.source.stdConn.SetReadDeadline(deadline); err != nil {
+		return 0, err
+	}
+	if !s.isDestination(destination, false) { // stopped before the deadline was set
+		return 0, errStopped
+	}
+	n, err := s.source.stdConn.Read(buffer)
+	s.waited += time.Since(now)
+	s.received += int64(n)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !s.isDestination(destination, false) {
+		return 0, errStopped
+	}
+	return n, err
+}
