--- a/internal/listcalls/listcalls.go
+++ b/internal/listcalls/listcalls.go
@@ -99,7 +99,7 @@
 	callCost         time.Duration // service time of a call: the shortest without a wait; 0: not known
 	maxTimeToFailure time.Duration // the longest time after which a call failed, as in a queue
 	versionKnown     bool          // the next call may wait for changes
-	staggered        bool          // this proxy's watches end in its turn: there was no change since
+	staggered        bool          // this proxy's watches end staggered: there was no change since
 	lag              time.Duration // recent time to an answer, beyond the wait that calls were allowed
 	lagKnown         bool
 	lease            Lease
@@ -159,6 +159,7 @@
 	return s.begin(now, false), true
 }
 
+// begin starts the next call, with its wait and deadline.
 func (s *Schedule) begin(now time.Duration, newConn bool) Call {
 	s.number++
 	s.pending, s.start = true, now
@@ -226,8 +227,8 @@
 	case s.failures == 1:
 		return now + s.withinLease(now, s.stagger(min(s.fleetCost(), s.retryInterval())))
 	}
-	// Otherwise the call would continue a watch: what changes in between would count as notified at once,
-	// and this service does not answer in time.
+	// Without newWatchPause the call would continue a watch: what changes in between would count as notified
+	// at once, and this service does not answer in time.
 	return now + max(newWatchPause, s.withinLease(now, s.start+s.jitter(s.retryInterval())-now))
 }
 
