--- a/internal/listcalls/fleetoutage_test.go
+++ b/internal/listcalls/fleetoutage_test.go
@@ -24,8 +24,8 @@
 )
 
 // TestEveryFleetReceivesInTime checks that no proxy receives a change later than the protocol allows
-// because of the size of its fleet or the length of the outage before (report 43e505: 83 proxies, 8
-// s, up to 8 s late).
+// because of the size of its fleet or the length of the outage before (report 43e505: 83 proxies,
+// an outage of 8 s, up to 8 s late).
 func TestEveryFleetReceivesInTime(t *testing.T) {
 	for _, proxies := range fleetSizes {
 		t.Run(fmt.Sprintf("proxies=%d", proxies), func(t *testing.T) {
@@ -171,8 +171,8 @@
 
 // TestOverloadedServices measures services that can't answer all proxies in time: seven in ten
 // processes restart within 1.5 s of the service's return, and the list continues to change. It checks
-// only that each run has the expected number of results; its table, shown with -v, serves to compare
-// schedules.
+// only the number of results and that the service worked no longer than the measured time; its table,
+// shown with -v, serves to compare schedules.
 func TestOverloadedServices(t *testing.T) {
 	t.Logf("%8s %7s %7s %6s | %6s %9s %9s %9s | %7s %6s %6s | %6s %6s", "proxies", "answer", "polled", "free",
 		"late", "mean late", "longest", "last recv", "useful", "wasted", "idle", "calls", "failed")
--- a/internal/serverlist/starts_test.go
+++ b/internal/serverlist/starts_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestStartTimesWithWrongWallClock checks that a wall clock that was wrong when the process
-// started makes no just started server look cached, once discovery's start times have shown the error,
+// started makes no just started server look old, once discovery's start times have shown the error,
 // and that a correct clock is used.
 func TestStartTimesWithWrongWallClock(t *testing.T) {
 	const processStart = 24 * time.Hour
