--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -85,8 +85,8 @@
 	"internal/peers/link.go":         "the same",
 	"cmd/lilacglade/work.go":         "the same",
 
-	"internal/serverlist/starttimes.go": "the epoch of start times, which discovery tells in Unix time",
-	"internal/consensus/disk.go":        "names of files that are set aside",
+	"internal/serverlist/starts.go": "the epoch of start times, which discovery tells in Unix time",
+	"internal/consensus/disk.go":    "names of files that are set aside",
 }
 
 // TestNoSpanByTheWallClock guards against what broke on 2026-12-02 (docs/incidents): a span of time that a
