--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -19,7 +19,7 @@
 		// still answered.
 		if truncated || conn.parser.Held() > maxPipelinedBytes {
 			conn.discarding.Store(true)
-			p.step(reducer.CallerFlooding{Leg: conn.id})
+			p.step(reducer.ClientFlooding{Conn: conn.id})
 		}
 		return
 	}
@@ -47,10 +47,10 @@
 		if conn.parser.Head() && conn.headTime.IsZero() {
 			conn.headTime = conn.lastRead
 		}
-		event := reducer.CallerReading{Leg: conn.id}
+		event := reducer.ClientReading{Conn: conn.id}
 		if !conn.headTime.IsZero() {
-			event.Took = time.Duration(conn.parser.Came()) * time.Second / minUploadRate
-			event.By = p.at(conn.headTime) + uploadPauseBudget + event.Took
+			event.BodyAllowance = time.Duration(conn.parser.Came()) * time.Second / minUploadRate
+			event.Deadline = p.at(conn.headTime) + uploadPauseBudget + event.BodyAllowance
 		}
 		p.step(event)
 		if conn.parser.Large() {
@@ -72,7 +72,7 @@
 	readAt := p.at(conn.lastRead)
 	event := requestEvent(&p.settings, readAt < p.staleClassesUntil, conn.id, message, readAt-conn.requestDelay)
 	conn.requestDelay = 0
-	if request, ok := event.(reducer.CallerAsked); ok {
+	if request, ok := event.(reducer.RequestReceived); ok {
 		conn.requestID = request.Name
 	}
 	return event
@@ -92,7 +92,7 @@
 	message.Close = true // no other request can follow one that is answered before its end
 	conn.http10, conn.headTime = message.Old, time.Time{}
 	event := p.parsedRequest(conn, message)
-	if request, ok := event.(reducer.CallerAsked); ok {
+	if request, ok := event.(reducer.RequestReceived); ok {
 		stream := &bodyStream{message: message, source: conn, length: body.Known(),
 			buffers: p.buffers, isUpload: true, body: body}
 		conn.streaming = true
@@ -100,7 +100,7 @@
 		if stream.length < 0 {
 			remaining = http1.MaxLarge
 		}
-		request.Stream, request.May, request.Last, request.Payload =
+		request.Stream, request.Timeout, request.Last, request.Payload =
 			true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
 		request.Deadline += uploadPauseBudget + time.Duration(remaining)*time.Second/minUploadRate
 		event = request
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -17,7 +17,7 @@
 
 // connection is one connection, to a client or to a server.
 type connection struct {
-	id          reducer.LegID
+	id          reducer.ConnID
 	isClient    bool
 	inbox       *inbox
 	clock       clock
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -259,7 +259,7 @@
 	for advice, want := range tests {
 		var parser http1.Parser
 		parser.Responses = true
-		for _, part := range encodeAnswer(reducer.Effect{Verdict: reducer.Busy, Advice: advice}) {
+		for _, part := range encodeAnswer(reducer.Effect{Verdict: reducer.Rejected, RetryAfter: advice}) {
 			parser.Feed(append([]byte(nil), part...))
 		}
 		message, err := parser.Next()
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -21,8 +21,8 @@
 // execute carries out one effect.
 func (p *proxy) execute(effect reducer.Effect) {
 	switch effect.Do {
-	case reducer.AnswerCaller:
-		if conn := p.clientConns[effect.Leg]; conn != nil {
+	case reducer.AnswerClient:
+		if conn := p.clientConns[effect.Conn]; conn != nil {
 			conn.busy = true
 			conn.requestPending.Store(true)
 			if stream, ok := effect.Payload.(*bodyStream); ok && effect.Verdict == reducer.Served {
@@ -34,36 +34,36 @@
 			p.observer.recordUnserved(conn, effect, p.now())
 			conn.write(writeJob{buffers: encodeAnswer(effect), deadline: effect.At, report: true})
 		}
-	case reducer.EaseCaller:
-		if conn := p.clientConns[effect.Leg]; conn != nil {
+	case reducer.CheckClientIdle:
+		if conn := p.clientConns[effect.Conn]; conn != nil {
 			p.inbox.post(quiesceCheck{conn})
 		}
-	case reducer.PartCaller:
-		if conn := p.clientConns[effect.Leg]; conn != nil {
+	case reducer.CloseClientWrite:
+		if conn := p.clientConns[effect.Conn]; conn != nil {
 			conn.closeWrite()
 		}
-	case reducer.CloseCaller:
-		if conn := p.clientConns[effect.Leg]; conn != nil {
+	case reducer.CloseClientConn:
+		if conn := p.clientConns[effect.Conn]; conn != nil {
 			conn.close()
 		}
 	case reducer.Dial:
-		conn := &connection{id: effect.Leg, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
-		p.serverConns[effect.Leg] = conn
+		conn := &connection{id: effect.Conn, inbox: p.inbox, clock: p.clock, parser: http1.Parser{Responses: true}}
+		p.serverConns[effect.Conn] = conn
 		go conn.dial(p.servers.Address(effect.Server), effect.At)
 	case reducer.Forward:
-		if conn := p.serverConns[effect.Leg]; conn != nil {
+		if conn := p.serverConns[effect.Conn]; conn != nil {
 			p.forward(conn, effect)
 		}
-	case reducer.CloseHop:
-		if conn := p.serverConns[effect.Leg]; conn != nil {
-			delete(p.serverConns, effect.Leg)
+	case reducer.CloseServerConn:
+		if conn := p.serverConns[effect.Conn]; conn != nil {
+			delete(p.serverConns, effect.Conn)
 			if conn.upload != nil {
 				conn.upload.stop(conn)
 			}
 			conn.close()
 		}
-	case reducer.StreamHop:
-		if conn := p.serverConns[effect.Leg]; conn != nil && conn.busy {
+	case reducer.StreamResponse:
+		if conn := p.serverConns[effect.Conn]; conn != nil && conn.busy {
 			conn.parser.Enlarge()
 			if conn.readPending {
 				conn.interruptRead()
@@ -71,20 +71,20 @@
 				p.inbox.post(bytesIn{conn: conn, readAt: time.Now()}) // looked at once this effect is done
 			}
 		}
-	case reducer.Arm:
+	case reducer.ArmTimer:
 		p.timer.Reset(p.until(effect.At))
 	case reducer.Watch:
 		p.watch(effect)
 	case reducer.Publish:
-		figures := effect.Payload.(*reducer.Figures)
+		figures := effect.Payload.(*reducer.Metrics)
 		figures.Sockets = p.observer.figures
 		p.publish(figures)
-	case reducer.Stop:
-		stopped := effect.Payload.(reducer.Stopped)
-		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.Own)
+	case reducer.ReportFencing:
+		stopped := effect.Payload.(reducer.FencingStatus)
+		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.OwnGrant)
 	case reducer.Log:
 		p.logEffect(effect)
-	case reducer.TellCallers:
+	case reducer.DrainAcceptQueue:
 		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueEmpty{}) })
 	case reducer.Finish:
 		p.done = true
@@ -119,15 +119,15 @@
 
 // watch sends a call to discovery.
 func (p *proxy) watch(effect reducer.Effect) {
-	if p.watcher == nil || p.watcher.address != effect.Text || effect.Anew {
+	if p.watcher == nil || p.watcher.address != effect.Text || effect.NewConn {
 		if p.watcher != nil {
 			p.watcher.stop()
 		}
 		if p.watcher != nil && p.watcher.address != effect.Text {
-			p.servers.Forget()
+			p.servers.RequestFull()
 		}
 		p.watcher = newWatcher(effect.Text, p.inbox, p.clock, p.decoder)
 		go p.watcher.run()
 	}
-	p.watcher.request(call{p.servers.Query(p.now(), effect.At), effect.GiveUp + callTimeoutSlack})
+	p.watcher.request(call{p.servers.Query(p.now(), effect.At), effect.GiveUpAt + callTimeoutSlack})
 }
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -16,7 +16,7 @@
 	switch item := item.(type) {
 	case accepted:
 		p.clientConns[item.conn.id] = item.conn
-		p.step(reducer.CallerOpened{Leg: item.conn.id})
+		p.step(reducer.ClientOpened{Conn: item.conn.id})
 	case bytesIn:
 		conn := item.conn
 		conn.queuedBytes.Add(-int64(len(item.data)))
@@ -42,18 +42,18 @@
 		}
 	case bodyComplete:
 		item.stream.complete = true
-		p.step(reducer.CallerWhole{Leg: item.stream.source.id, Read: p.at(item.readAt)})
+		p.step(reducer.RequestBodyComplete{Conn: item.stream.source.id, ReadAt: p.at(item.readAt)})
 	case bodyFailed:
 		answer := parseFailure(item.conn.id, item.err)
-		p.step(reducer.CallerSpoilt{Leg: item.conn.id, Payload: answer.Payload, Slow: errors.Is(item.err,
+		p.step(reducer.RequestBodyFailed{Conn: item.conn.id, Payload: answer.Payload, TimedOut: errors.Is(item.err,
 			os.ErrDeadlineExceeded)})
 	case connUnusable:
-		p.step(reducer.HopUnfit{Leg: item.conn.id})
+		p.step(reducer.ServerConnUnusable{Conn: item.conn.id})
 	case requestUnsent:
 		item.conn.busy, item.conn.upload = false, nil
-		p.step(reducer.HopUnsent{Leg: item.conn.id})
+		p.step(reducer.RequestUnsent{Conn: item.conn.id})
 	case clientHungUp:
-		p.step(reducer.CallerClosed{Leg: item.conn.id})
+		p.step(reducer.ClientClosed{Conn: item.conn.id})
 	case connClosed:
 		p.handleConnClosed(item.conn, item.reset)
 	case written:
@@ -63,13 +63,13 @@
 			return
 		}
 		if !conn.isClient {
-			p.step(reducer.HopWritten{Leg: conn.id, OK: item.err == nil})
+			p.step(reducer.RequestWritten{Conn: conn.id, OK: item.err == nil})
 			return
 		}
 		conn.busy = false
 		conn.requestPending.Store(false)
 		p.observer.recordUnwritten(conn, item.err, p.now())
-		p.step(reducer.CallerWritten{Leg: conn.id, OK: item.err == nil})
+		p.step(reducer.ResponseWritten{Conn: conn.id, OK: item.err == nil})
 		p.readConn(conn, false)
 	case dialed:
 		conn := item.conn
@@ -83,10 +83,10 @@
 		if !ok {
 			delete(p.serverConns, conn.id)
 		}
-		p.step(reducer.HopDialed{Leg: conn.id, OK: ok, Local: item.localFault})
+		p.step(reducer.ServerDialed{Conn: conn.id, OK: ok, LocalFault: item.localFault})
 	case discoveryConnected:
 		if item.watcher == p.watcher {
-			p.step(reducer.ListReached{})
+			p.step(reducer.ListConnected{})
 		}
 	case listDocument:
 		if item.from == p.watcher {
@@ -108,18 +108,18 @@
 		maxClients, maxServers := connectionLimits(node.Limits)
 		p.listener.maxConns.Store(int64(maxClients))
 		p.step(reducer.Reloaded{Settings: &p.settings.Settings, Discovery: node.Discovery,
-			MaxCallers: softClientLimit(maxClients), MaxHops: maxServers})
+			MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers})
 		if known != nil {
 			p.applyKnownList(known)
 		}
 	case factsUpdated:
-		p.step(reducer.Settled{Facts: item.facts, Own: item.own})
+		p.step(reducer.FencingUpdated{Facts: item.facts, OwnGrant: item.own})
 	case quiesceCheck:
 		if !item.conn.closing && !item.conn.busy && item.conn.idle() {
-			p.step(reducer.CallerQuiet{Leg: item.conn.id})
+			p.step(reducer.ClientIdleConfirmed{Conn: item.conn.id})
 		}
 	case acceptQueueEmpty:
-		p.step(reducer.CallersTold{})
+		p.step(reducer.AcceptQueueDrained{})
 	case overlapEnded:
 		p.applyLimits()
 	case stopping:
@@ -154,7 +154,7 @@
 	}
 	if conn.isClient {
 		delete(p.clientConns, conn.id)
-		p.step(reducer.CallerClosed{Leg: conn.id})
+		p.step(reducer.ClientClosed{Conn: conn.id})
 		return
 	}
 	// Otherwise a large response would be lost that had arrived completely, together with the end
@@ -172,7 +172,7 @@
 		p.finishResponse(conn, responseEvent(&p.settings, conn.id, message, false))
 	}
 	delete(p.serverConns, conn.id)
-	p.step(reducer.HopClosed{Leg: conn.id})
+	p.step(reducer.ServerClosed{Conn: conn.id})
 }
 
 // applyLateList applies a list that arrived on a watch while that watch was being abandoned: it
@@ -183,7 +183,7 @@
 	}
 	if list, ok := p.servers.ApplyLate(document.list, p.now()); ok {
 		p.logListChanges()
-		p.step(reducer.ListTold{List: list, Late: true})
+		p.step(reducer.ListReceived{List: list, Late: true})
 		p.publishInventory()
 	}
 }
@@ -193,7 +193,7 @@
 	start := time.Now()
 	list, err := lg.List{Kind: lg.ListFailed}, document.err
 	if document.malformed {
-		p.servers.Forget()
+		p.servers.RequestFull()
 	}
 	if err == nil {
 		var update lg.List
@@ -205,8 +205,8 @@
 	if err == nil {
 		p.logListChanges()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches(), Complete: document.list.Whole(),
-		Work: document.decodeTime + time.Since(start)})
+	p.step(reducer.ListReceived{List: list, NextFull: !p.servers.CanWatch(), Complete: document.list.IsFull(),
+		ProcessingTime: document.decodeTime + time.Since(start)})
 	if err == nil {
 		p.publishInventory()
 	}
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -88,17 +88,18 @@
 	var list lg.List
 	doc, err := p.decoder.Decode(raw)
 	if err == nil {
-		list, err = p.servers.Remember(doc, p.now())
+		list, err = p.servers.ApplyCached(doc, p.now())
 	}
 	if err != nil {
-		p.servers.Forget()
+		p.servers.RequestFull()
 		log.Printf("known: %v", err)
 		return false
 	}
 	if !p.settings.AskForList {
-		p.servers.Forget() // otherwise a watch would wait for changes while the outdated list is in use
+		// otherwise a watch would wait for changes while the outdated list is in use
+		p.servers.RequestFull()
 	}
-	p.step(reducer.ListTold{List: list, Whole: !p.servers.Watches()})
+	p.step(reducer.ListReceived{List: list, NextFull: !p.servers.CanWatch()})
 	return true
 }
 
@@ -124,7 +125,7 @@
 	if !p.applyKnownList(handover.Routes) {
 		return false
 	}
-	p.step(reducer.Remembered{Ago: max(0, handover.Age), Learned: handover.Learned})
+	p.step(reducer.LearnedReceived{Age: max(0, handover.Age), Learned: handover.Learned})
 	log.Printf("took over from a process that wrote %v ago", handover.Age.Round(time.Millisecond))
 	return true
 }
@@ -136,7 +137,7 @@
 		return
 	}
 	p.handoverWriter.lastSave = time.Now()
-	handover := upgrade.Handover{Routes: p.servers.Document(), Learned: p.state.Learned()}
+	handover := upgrade.Handover{Routes: p.servers.Encode(), Learned: p.state.Learned()}
 	now := upgrade.Now()
 	handover.Stamp(now)
 	if now.Monotonic > 0 {
@@ -179,16 +180,16 @@
 // support that. Zones and kinds are numbered by the new names. Where these differ, the server list
 // must be applied again: it is returned.
 func (p *proxy) applySettings(updated settings.Settings) (known []byte) {
-	if !p.state.Retunes() {
+	if !p.state.SupportsRetune() {
 		return nil
 	}
 	previous := p.settings
-	updated.Settings = updated.Settings.After(previous.Settings)
+	updated.Settings = updated.Settings.RetainingClasses(previous.Settings)
 	p.settings, p.staleClassesUntil = updated, p.now()+staleClassDuration
 	if !slices.Equal(previous.ZoneNames, updated.ZoneNames) ||
 		!slices.Equal(previous.KindNames, updated.KindNames) {
-		known = p.servers.Document()
-		p.servers = p.servers.Anew(updated.ZoneNames, updated.KindNames)
+		known = p.servers.Encode()
+		p.servers = p.servers.WithNames(updated.ZoneNames, updated.KindNames)
 	}
 	return known
 }
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -57,12 +57,12 @@
 }
 
 // invalidRequest returns the event that answers what can't be accepted as a request.
-func invalidRequest(id reducer.LegID, status int, fields string, last bool) reducer.CallerFaulty {
-	return reducer.CallerFaulty{Leg: id, Payload: http1.Answer(status, fields, "", last), Last: last}
+func invalidRequest(id reducer.ConnID, status int, fields string, last bool) reducer.RequestInvalid {
+	return reducer.RequestInvalid{Conn: id, Payload: http1.Answer(status, fields, "", last), Last: last}
 }
 
 // parseFailure returns the event that answers a request that the parser rejected.
-func parseFailure(id reducer.LegID, err error) reducer.CallerFaulty {
+func parseFailure(id reducer.ConnID, err error) reducer.RequestInvalid {
 	switch err {
 	case http1.ErrHeadSize:
 		return invalidRequest(id, 431, "", true)
@@ -74,7 +74,7 @@
 
 // requestEvent turns a request that was read at the given time into its event. AcceptStale reports
 // that classes that are no longer offered are accepted, too.
-func requestEvent(config *settings.Settings, acceptStale bool, id reducer.LegID, message *http1.Message,
+func requestEvent(config *settings.Settings, acceptStale bool, id reducer.ConnID, message *http1.Message,
 	readAt time.Duration) reducer.Event {
 	method := string(message.Method)
 	switch string(message.Path()) {
@@ -82,7 +82,7 @@
 		if method != "GET" {
 			return invalidRequest(id, 405, "Allow: GET\r\n", message.Close)
 		}
-		return reducer.CallerProbed{Leg: id, Last: message.Close}
+		return reducer.HealthChecked{Conn: id, Last: message.Close}
 	case pathAPI:
 	default:
 		return invalidRequest(id, 404, "", message.Close)
@@ -126,7 +126,7 @@
 	if (len(message.Get(fieldIdempotencyKey)) > 0) != (class.Effect == lg.Keyed) {
 		return invalidRequest(id, 400, "", true)
 	}
-	event := reducer.CallerAsked{Leg: id, Name: string(message.Get(fieldID)), Class: classIndex, Tenant: -1,
+	event := reducer.RequestReceived{Conn: id, Name: string(message.Get(fieldID)), Class: classIndex, Tenant: -1,
 		Deadline: readAt + timeout, Repeat: string(message.Get(fieldClientRetry)) == "1",
 		Cost: workHint(message), Payload: message, Last: message.Close}
 	for i := range config.Tenants {
@@ -156,10 +156,10 @@
 
 // responseEvent turns a server's response into its event. Only the two statuses that can say so
 // prove that the request never started.
-func responseEvent(config *settings.Settings, id reducer.LegID, message *http1.Message,
-	reusable bool) reducer.HopAnswered {
-	event := reducer.HopAnswered{Leg: id, Result: lg.ServerError, Payload: message,
-		Keep: reusable && !message.Close, Load: parseLoadReport(config.Report, message.Get(fieldLoad))}
+func responseEvent(config *settings.Settings, id reducer.ConnID, message *http1.Message,
+	reusable bool) reducer.ServerAnswered {
+	event := reducer.ServerAnswered{Conn: id, Result: lg.ServerError, Payload: message,
+		Reusable: reusable && !message.Close, Load: parseLoadReport(config.Report, message.Get(fieldLoad))}
 	switch message.Status {
 	case 200:
 		event.Result = lg.OK
@@ -203,24 +203,24 @@
 	switch effect.Verdict {
 	case reducer.Served:
 		return effect.Payload.(*http1.Message).Back(fieldLoad, effect.Last)
-	case reducer.Faulty:
+	case reducer.Invalid:
 		return effect.Payload.([][]byte)
 	case reducer.ReadyNow:
 		return http1.Answer(200, "", "ready\n", effect.Last)
 	case reducer.NotReady:
 		return http1.Answer(503, "", "not ready\n", effect.Last)
-	case reducer.Busy:
+	case reducer.Rejected:
 		fields := ""
-		if effect.Advice > 0 {
-			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", effect.Advice.Seconds()), ".000")
+		if effect.RetryAfter > 0 {
+			seconds := strings.TrimSuffix(fmt.Sprintf("%.3f", effect.RetryAfter.Seconds()), ".000")
 			fields = "Retry-After: " + seconds + "\r\n"
 		}
 		return http1.Answer(503, fields, "", effect.Last)
-	case reducer.Taken:
+	case reducer.DuplicateName:
 		return http1.Answer(409, "", "", effect.Last)
 	case reducer.TooSlow:
 		return http1.Answer(408, "", "", effect.Last)
-	case reducer.Late:
+	case reducer.DeadlineExceeded:
 		return http1.Answer(504, "", "", effect.Last)
 	}
 	return http1.Answer(502, "", "", effect.Last)
--- a/internal/transport/messages_test.go
+++ b/internal/transport/messages_test.go
@@ -30,7 +30,7 @@
 	for lines, want := range map[string]time.Duration{
 		"":                                       0,
 		"Work-Hint: 53000\r\n":                   53 * time.Millisecond,
-		"work-hint:  1.5 \r\n":                   1500 * time.Nanosecond,
+		"work-hint: 1.5 \r\n":                    1500 * time.Nanosecond,
 		"Work-Hint: 0\r\n":                       0,
 		"Work-Hint: -5\r\n":                      0,
 		"Work-Hint: lots\r\n":                    0,
@@ -42,19 +42,19 @@
 		"Work-Hint: \r\nRequest-Info: a=b,=\r\n": 0,
 	} {
 		event, ok := parseRequest(lines)
-		asked, isRequest := event.(reducer.CallerAsked)
+		asked, isRequest := event.(reducer.RequestReceived)
 		if !ok || !isRequest || asked.Cost != want {
 			t.Errorf("%q: got %+v, want a request of %v", lines, event, want)
 		}
 	}
 	var got lg.Request
-	state, err := reducer.New(reducer.Config{MaxCallers: 4, MaxHops: 4, Decider: requestRecorder{&got},
+	state, err := reducer.New(reducer.Config{MaxClients: 4, MaxServerConns: 4, Decider: requestRecorder{&got},
 		Settings: lg.Settings{Classes: []lg.Class{{Name: "look", Deadline: time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	event, _ := parseRequest("Work-Hint: 53000\r\n")
-	state.Step(0, reducer.CallerOpened{Leg: 1})
+	state.Step(0, reducer.ClientOpened{Conn: 1})
 	if state.Step(0, event); got.Cost != 53*time.Millisecond {
 		t.Errorf("the Balancer received %v", got.Cost)
 	}
@@ -88,7 +88,7 @@
 		if !ok || strings.ContainsAny(value, "\r\n") {
 			return
 		}
-		if request, ok := event.(reducer.CallerAsked); !ok || request.Cost < 0 || request.Cost > maxWorkHint {
+		if request, ok := event.(reducer.RequestReceived); !ok || request.Cost < 0 || request.Cost > maxWorkHint {
 			t.Errorf("%s: %q gives %+v", name, value, event)
 		}
 	})
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -28,7 +28,7 @@
 // observer reports to operators: it writes the log lines and counts the figures that the reducer
 // can't count. The reducer's goroutine owns it.
 type observer struct {
-	figures          reducer.SocketFigures
+	figures          reducer.SocketMetrics
 	wallClock        wallclock.Monitor
 	nextClockCheck   time.Duration // on the proxy's clock
 	unwritten        logburst.Limiter
@@ -65,7 +65,7 @@
 	case bytesIn:
 		figures.LongestQueued = max(figures.LongestQueued, start.Sub(item.readAt))
 	case listDocument:
-		figures.LongestList = max(figures.LongestList, duration)
+		figures.LongestListUpdate = max(figures.LongestListUpdate, duration)
 	}
 	if duration < slowItemThreshold {
 		return
@@ -118,7 +118,7 @@
 	if err == nil || isDisconnect(err) {
 		return
 	}
-	o.figures.Unwritten++
+	o.figures.UnwrittenAnswers++
 	if suppressed, ok := o.unwritten.Allow(now); ok {
 		log.Printf("the answer to request %q was not written and its connection is closed: %v (%d more since "+
 			"the last line)", conn.requestID, err, suppressed)
@@ -129,7 +129,7 @@
 // that comes from no server is logged with the attempts made, so that an operator can see why the
 // request was not served.
 func (o *observer) recordUnserved(conn *connection, effect reducer.Effect, now time.Duration) {
-	unserved, ok := effect.Payload.(reducer.Unserved)
+	unserved, ok := effect.Payload.(reducer.FailureDetails)
 	if !ok {
 		return
 	}
@@ -139,10 +139,10 @@
 	}
 	attempts := "nothing was sent to a server"
 	if unserved.Attempts > 0 {
-		attempts = fmt.Sprintf("%d attempts, last result %s", unserved.Attempts, unserved.Last)
+		attempts = fmt.Sprintf("%d attempts, last result %s", unserved.Attempts, unserved.LastResult)
 	}
 	log.Printf("request %q is answered %q after %v: %s (%d more since the last line)", conn.requestID,
-		effect.Verdict, roundForLog(unserved.Took), attempts, suppressed)
+		effect.Verdict, roundForLog(unserved.Elapsed), attempts, suppressed)
 }
 
 // isDisconnect reports whether an answer was not written because the other side has left.
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -29,7 +29,7 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.settings.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(facts fencing.Facts[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
+		Facts: func(facts fencing.Restrictions[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
 	return err
 }
 
@@ -50,7 +50,7 @@
 	return func() bool {
 		now := p.now()
 		switch {
-		case effect.Begin > 0 && now >= effect.Begin, now >= effect.At:
+		case effect.StartBy > 0 && now >= effect.StartBy, now >= effect.At:
 			report.err = errTooLate
 			p.inbox.post(report)
 		case now-decided > maxWriteDelay:
@@ -63,7 +63,7 @@
 }
 
 // publish reports the figures to operators, and the load derived from them to the other proxies.
-func (p *proxy) publish(figures *reducer.Figures) {
+func (p *proxy) publish(figures *reducer.Metrics) {
 	if p.adminServer != nil {
 		p.adminServer.Show(figures)
 	}
@@ -76,18 +76,18 @@
 		now.rejected += handled.Dropped
 	}
 	load := coordination.Load{Handled: now.handled - p.lastPublished.handled,
-		Refused: now.rejected - p.lastPublished.rejected}
-	for _, room := range figures.Rooms {
-		load.Busy += float64(room.Out)
+		Shed: now.rejected - p.lastPublished.rejected}
+	for _, room := range figures.Headroom {
+		load.InFlight += float64(room.InFlight)
 		name, ok := now.serverNames[room.Server]
-		if room.Aside && ok {
-			load.Avoids = append(load.Avoids, name)
+		if room.Ejected && ok {
+			load.Ejected = append(load.Ejected, name)
 		}
 		if ok {
-			load.Rooms = append(load.Rooms, coordination.Room{Machine: name, Most: room.Most})
+			load.Capacities = append(load.Capacities, coordination.Capacity{Machine: name, Requests: room.MaxInFlight})
 		}
 	}
-	for _, id := range figures.Hot {
+	for _, id := range figures.HotKeyServers {
 		if name, ok := now.serverNames[id]; ok {
 			load.Hot = append(load.Hot, name)
 		}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -13,13 +13,13 @@
 func TestTooLateToBegin(t *testing.T) {
 	p := &proxy{clock: newClock(), inbox: newInbox()}
 	future, past := p.now()+time.Hour, p.now()
-	for _, effect := range []reducer.Effect{{At: future}, {At: future, Begin: future}} {
+	for _, effect := range []reducer.Effect{{At: future}, {At: future, StartBy: future}} {
 		if p.tooLateCheck(effect, written{})() {
 			t.Errorf("%+v: too late an hour before its deadline", effect)
 		}
 	}
 	conn := &connection{inbox: p.inbox, clock: p.clock}
-	for _, effect := range []reducer.Effect{{At: future, Begin: past}, {At: past}, {At: past, Begin: future}} {
+	for _, effect := range []reducer.Effect{{At: future, StartBy: past}, {At: past}, {At: past, StartBy: future}} {
 		conn.write(writeJob{buffers: [][]byte{[]byte("x")}, tooLate: p.tooLateCheck(effect, written{conn: conn})})
 		<-p.inbox.wake
 		if items := p.inbox.takeAll(nil); len(items) != 1 || items[0].(written).err == nil {
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -57,12 +57,12 @@
 	clock
 	inbox             *inbox
 	state             *reducer.State
-	servers           *serverlist.Set
+	servers           *serverlist.Store
 	decoder           *serverlist.Decoder
 	watcher           *watcher
 	listener          *listener
-	clientConns       map[reducer.LegID]*connection
-	serverConns       map[reducer.LegID]*connection
+	clientConns       map[reducer.ConnID]*connection
+	serverConns       map[reducer.ConnID]*connection
 	timer             *time.Timer
 	adminServer       *admin.Door     // nil: no operator interface
 	socketShared      bool            // the listening socket is shared with other processes of this proxy
@@ -107,7 +107,7 @@
 // ServeWithOptions is Serve with options.
 func ServeWithOptions(ctx context.Context, node settings.Node, reloads <-chan Reload, options Options) error {
 	p := &proxy{settings: node.Settings, clock: newClock(), inbox: newInbox(),
-		clientConns: map[reducer.LegID]*connection{}, serverConns: map[reducer.LegID]*connection{},
+		clientConns: map[reducer.ConnID]*connection{}, serverConns: map[reducer.ConnID]*connection{},
 		timer: time.NewTimer(0), observer: newObserver(), decoder: new(serverlist.Decoder)}
 	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
 	maxClients, maxServers := connectionLimits(node.Limits)
@@ -115,15 +115,15 @@
 	p.socketShared = node.Passed != ""
 	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
 	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
-		MaxCallers: softClientLimit(maxClients), MaxHops: maxServers,
-		IdleHops:  p.settings.KeepAlive / idleTimeoutDivisor,
-		Discovery: node.Discovery, Decider: options.Decider, Trace: options.Trace, Work: options.Peers != nil,
-		Figures: node.Admin != "" || options.Peers != nil}
+		MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers,
+		ServerIdleTimeout: p.settings.KeepAlive / idleTimeoutDivisor,
+		Discovery:         node.Discovery, Decider: options.Decider, Trace: options.Trace, Maintenance: options.Peers != nil,
+		PublishMetrics: node.Admin != "" || options.Peers != nil}
 	if p.socketShared || !p.settings.AskForList {
-		cfg.Confirm = p.now() + confirmTimeout
+		cfg.ConfirmTimeout = p.now() + confirmTimeout
 	}
 	if p.socketShared {
-		cfg.Overlap = p.now() + overlapDuration
+		cfg.OverlapUntil = p.now() + overlapDuration
 	}
 	p.state, err = reducer.New(cfg)
 	if err != nil {
@@ -177,7 +177,7 @@
 	}()
 	if !p.takeOver(node) && !p.applyKnownList(node.Known) {
 		// Without this first event the reducer would never ask discovery for a list.
-		p.step(reducer.ListTold{List: lg.List{Kind: lg.CachedList}, Whole: true})
+		p.step(reducer.ListReceived{List: lg.List{Kind: lg.CachedList}, NextFull: true})
 	}
 	log.Printf("%s serves on %s", node.Name, node.Listen)
 	err = p.run()
@@ -194,7 +194,7 @@
 	var lastID atomic.Uint64
 	return func(socket netpoll.Connection) context.Context {
 		ln.openConns.Add(1)
-		conn := &connection{id: reducer.LegID(lastID.Add(1)), isClient: true, inbox: p.inbox, clock: p.clock,
+		conn := &connection{id: reducer.ConnID(lastID.Add(1)), isClient: true, inbox: p.inbox, clock: p.clock,
 			waitingSince: ln.waitingSince, acceptedAt: time.Now()}
 		conn.attach(socket, func() { ln.openConns.Add(-1) })
 		p.inbox.post(accepted{conn})
@@ -218,8 +218,8 @@
 		case <-p.inbox.wake:
 		case <-p.timer.C:
 			start := time.Now()
-			p.step(reducer.Woken{})
-			p.recordItem(reducer.Woken{}, start)
+			p.step(reducer.TimerFired{})
+			p.recordItem(reducer.TimerFired{}, start)
 		}
 		items = p.inbox.takeAll(items)
 		for _, item := range items {
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -11,7 +11,7 @@
 func (p *proxy) readServer(conn *connection, truncated bool) {
 	if !conn.busy {
 		if conn.parser.Partial() {
-			p.step(reducer.HopStray{Leg: conn.id})
+			p.step(reducer.UnexpectedServerData{Conn: conn.id})
 		}
 		return
 	}
@@ -24,7 +24,7 @@
 	}
 	switch {
 	case err != nil, message == nil && truncated:
-		p.finishResponse(conn, reducer.HopAnswered{Leg: conn.id, Result: lg.ServerError})
+		p.finishResponse(conn, reducer.ServerAnswered{Conn: conn.id, Result: lg.ServerError})
 	case message != nil:
 		p.finishResponse(conn, responseEvent(&p.settings, conn.id, message, !conn.parser.Partial() && !truncated))
 	case conn.parser.Large() && !conn.isDetached:
@@ -35,16 +35,16 @@
 		p.startDownload(conn)
 	case conn.parser.Open() && conn.parser.Status() == 200 && !conn.responseStarted:
 		conn.responseStarted = true
-		p.step(reducer.HopBegins{Leg: conn.id})
+		p.step(reducer.ResponseStarted{Conn: conn.id})
 	}
 }
 
 // finishResponse handles the end of the pending response of a server connection. An upload that is
 // still being written to it is stopped.
-func (p *proxy) finishResponse(conn *connection, event reducer.HopAnswered) {
+func (p *proxy) finishResponse(conn *connection, event reducer.ServerAnswered) {
 	conn.busy = false
 	if conn.upload != nil {
-		event.Gone = conn.upload.stop(conn)
+		event.BodyConsumed = conn.upload.stop(conn)
 	}
 	p.step(event)
 }
@@ -56,12 +56,13 @@
 	early := conn.upload != nil && !conn.upload.complete
 	if body.Done || event.Result != lg.OK || early {
 		if !body.Done || early { // a response to an incomplete request is not streamed either
-			event = reducer.HopAnswered{Leg: conn.id, Result: lg.ServerError, Load: event.Load}
+			event = reducer.ServerAnswered{Conn: conn.id, Result: lg.ServerError, Load: event.Load}
 		}
 		p.finishResponse(conn, event)
 		return
 	}
 	conn.busy, conn.streaming = false, true
-	p.step(reducer.HopStreams{Leg: conn.id, Load: event.Load, Payload: &bodyStream{message: message,
-		source: conn, length: body.Known(), buffers: p.buffers, body: body}})
+	p.step(reducer.ResponseStreaming{Conn: conn.id, Load: event.Load, Payload: &bodyStream{message: message,
+		source: conn,
+		length: body.Known(), buffers: p.buffers, body: body}})
 }
--- a/internal/transport/streaming.go
+++ b/internal/transport/streaming.go
@@ -18,7 +18,7 @@
 		destination.requestPending.Store(false)
 		p.observer.recordUnwritten(destination, result.err, p.now())
 		reusable := ok && len(leftover) == 0 && !stream.message.Close
-		p.step(reducer.CallerWritten{Leg: destination.id, OK: ok, Keep: reusable})
+		p.step(reducer.ResponseWritten{Conn: destination.id, OK: ok, Reusable: reusable})
 		p.readConn(destination, false)
 		source.readNext()
 		return
@@ -32,7 +32,7 @@
 		}
 		p.readConn(source, false)
 	}
-	p.step(reducer.HopWritten{Leg: destination.id, OK: ok, Gone: consumed})
+	p.step(reducer.RequestWritten{Conn: destination.id, OK: ok, BodyConsumed: consumed})
 }
 
 // streamJob returns the job that copies a bodyStream to a connection. It runs on the goroutine that
