--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -36,7 +36,7 @@
 		}
 	case reducer.CheckClientIdle:
 		if conn := p.clientConns[effect.Conn]; conn != nil {
-			p.inbox.post(quiesceCheck{conn})
+			p.inbox.post(idleCheck{conn})
 		}
 	case reducer.CloseClientWrite:
 		if conn := p.clientConns[effect.Conn]; conn != nil {
@@ -76,16 +76,16 @@
 	case reducer.Watch:
 		p.watch(effect)
 	case reducer.Publish:
-		figures := effect.Payload.(*reducer.Metrics)
-		figures.Sockets = p.observer.figures
-		p.publish(figures)
+		metrics := effect.Payload.(*reducer.Metrics)
+		metrics.Sockets = p.observer.metrics
+		p.publish(metrics)
 	case reducer.ReportFencing:
-		stopped := effect.Payload.(reducer.FencingStatus)
-		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.OwnGrant)
+		status := effect.Payload.(reducer.FencingStatus)
+		p.peers.Stopped(status.Index, status.Clear, status.OwnGrant)
 	case reducer.Log:
 		p.logEffect(effect)
 	case reducer.DrainAcceptQueue:
-		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueEmpty{}) })
+		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueDrained{}) })
 	case reducer.Finish:
 		p.done = true
 	}
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -112,13 +112,13 @@
 		if known != nil {
 			p.applyKnownList(known)
 		}
-	case factsUpdated:
-		p.step(reducer.FencingUpdated{Facts: item.facts, OwnGrant: item.own})
-	case quiesceCheck:
+	case fencingUpdated:
+		p.step(reducer.FencingUpdated{Facts: item.facts, OwnGrant: item.ownGrant})
+	case idleCheck:
 		if !item.conn.closing && !item.conn.busy && item.conn.idle() {
 			p.step(reducer.ClientIdleConfirmed{Conn: item.conn.id})
 		}
-	case acceptQueueEmpty:
+	case acceptQueueDrained:
 		p.step(reducer.AcceptQueueDrained{})
 	case overlapEnded:
 		p.applyLimits()
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -96,7 +96,7 @@
 		return false
 	}
 	if !p.settings.AskForList {
-		// otherwise a watch would wait for changes while the outdated list is in use
+		// Otherwise a watch would wait for changes while the outdated list is in use.
 		p.servers.RequestFull()
 	}
 	p.step(reducer.ListReceived{List: list, NextFull: !p.servers.CanWatch()})
--- a/internal/transport/harness_test.go
+++ b/internal/transport/harness_test.go
@@ -210,7 +210,7 @@
 	return client, serverConn
 }
 
-// awaitMetric polls the operator interface until one of the lines is among the figures.
+// awaitMetric polls the operator interface until one of the lines is among the metrics.
 func (p *testProxy) awaitMetric(adminAddr string, wants ...string) {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
--- a/internal/transport/inbox.go
+++ b/internal/transport/inbox.go
@@ -96,14 +96,14 @@
 	reloaded     struct{ reload Reload }
 	stopping     struct{}
 	overlapEnded struct{} // the previous process has exited
-	// quiesceCheck asks for a ClientQuiesced event if the connection is idle by then.
-	quiesceCheck     struct{ conn *connection }
-	acceptQueueEmpty struct{} // all clients that had connected were accepted and posted
-	// factsUpdated brings the coordination group's decisions on machines. Own is the grant by which this
+	// idleCheck asks for a ClientIdleConfirmed event if the connection is idle by then.
+	idleCheck          struct{ conn *connection }
+	acceptQueueDrained struct{} // all clients that had connected were accepted and posted
+	// fencingUpdated brings the coordination group's decisions on machines. OwnGrant is the grant by which this
 	// proxy's own machine is taken out; 0: it is not.
-	factsUpdated struct {
-		facts fencing.Restrictions[lg.ServerID]
-		own   uint64
+	fencingUpdated struct {
+		facts    fencing.Restrictions[lg.ServerID]
+		ownGrant uint64
 	}
 	serveFailed struct{ err error } // netpoll's event loop has ended
 )
--- a/internal/transport/observe.go
+++ b/internal/transport/observe.go
@@ -25,10 +25,10 @@
 	slowItemThreshold  = 50 * time.Millisecond  // an item that takes this long is logged
 )
 
-// observer reports to operators: it writes the log lines and counts the figures that the reducer
+// observer reports to operators: it writes the log lines and counts the metrics that the reducer
 // can't count. The reducer's goroutine owns it.
 type observer struct {
-	figures          reducer.SocketMetrics
+	metrics          reducer.SocketMetrics
 	wallClock        wallclock.Monitor
 	nextClockCheck   time.Duration // on the proxy's clock
 	unwritten        logburst.Limiter
@@ -51,7 +51,7 @@
 	}
 	o.nextClockCheck = now + clockCheckInterval
 	if step := o.wallClock.Observe(time.Duration(wallTime.UnixNano()), now); step != 0 {
-		o.figures.ClockSteps = o.wallClock.Steps()
+		o.metrics.ClockSteps = o.wallClock.Steps()
 		log.Printf("the wall clock was stepped by %v", step.Round(time.Millisecond))
 	}
 }
@@ -59,18 +59,18 @@
 // recordItem records how long the reducer's goroutine took for an item, and how long the item had
 // been queued. A slow item delays every request of the process, so it is logged with its kind.
 func (o *observer) recordItem(item any, start time.Time, duration, now time.Duration) {
-	figures := &o.figures
-	figures.LongestEvent = max(figures.LongestEvent, duration)
+	metrics := &o.metrics
+	metrics.LongestEvent = max(metrics.LongestEvent, duration)
 	switch item := item.(type) {
 	case bytesIn:
-		figures.LongestQueued = max(figures.LongestQueued, start.Sub(item.readAt))
+		metrics.LongestQueued = max(metrics.LongestQueued, start.Sub(item.readAt))
 	case listDocument:
-		figures.LongestListUpdate = max(figures.LongestListUpdate, duration)
+		metrics.LongestListUpdate = max(metrics.LongestListUpdate, duration)
 	}
 	if duration < slowItemThreshold {
 		return
 	}
-	figures.SlowEvents++
+	metrics.SlowEvents++
 	if suppressed, ok := o.slow.Allow(now); ok {
 		log.Printf("the reducer took %v for %s (%d more since the last line)", roundForLog(duration),
 			itemName(item), suppressed)
@@ -95,7 +95,7 @@
 // changes, and once per interval for as long as it lasts.
 func (o *observer) recordCall(document listDocument, err error, now time.Duration) {
 	if err == nil {
-		o.figures.CallsAnswered++
+		o.metrics.CallsAnswered++
 		if o.lastCallError != "" {
 			log.Printf("discovery: call %d to %s was answered after %v", document.callNumber,
 				document.from.address, roundForLog(document.duration))
@@ -103,7 +103,7 @@
 		o.lastCallError = ""
 		return
 	}
-	o.figures.CallsFailed++
+	o.metrics.CallsFailed++
 	changed := err.Error() != o.lastCallError
 	o.lastCallError = err.Error()
 	if suppressed, ok := o.calls.Allow(now); ok || changed {
@@ -118,7 +118,7 @@
 	if err == nil || isDisconnect(err) {
 		return
 	}
-	o.figures.UnwrittenAnswers++
+	o.metrics.UnwrittenAnswers++
 	if suppressed, ok := o.unwritten.Allow(now); ok {
 		log.Printf("the answer to request %q was not written and its connection is closed: %v (%d more since "+
 			"the last line)", conn.requestID, err, suppressed)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -29,7 +29,9 @@
 	}
 	p.peers, err = peers.Start(cfg, peers.Options{Name: node.Name, Seed: node.Seed, Grace: longest,
 		WarmAfter: p.settings.WarmWithin, Now: p.now, ID: serverlist.ID,
-		Facts: func(facts fencing.Restrictions[lg.ServerID], own uint64) { p.inbox.post(factsUpdated{facts, own}) }})
+		Facts: func(facts fencing.Restrictions[lg.ServerID], ownGrant uint64) {
+			p.inbox.post(fencingUpdated{facts, ownGrant})
+		}})
 	return err
 }
 
@@ -62,32 +64,33 @@
 	}
 }
 
-// publish reports the figures to operators, and the load derived from them to the other proxies.
-func (p *proxy) publish(figures *reducer.Metrics) {
+// publish reports the metrics to operators, and the load derived from them to the other proxies.
+func (p *proxy) publish(metrics *reducer.Metrics) {
 	if p.adminServer != nil {
-		p.adminServer.Show(figures)
+		p.adminServer.Show(metrics)
 	}
 	if p.peers == nil {
 		return
 	}
 	now := publishedLoad{serverNames: p.lastPublished.serverNames}
-	for _, handled := range figures.Handled {
+	for _, handled := range metrics.Handled {
 		now.handled += handled.Passed + handled.Dropped + handled.BadGateway
 		now.rejected += handled.Dropped
 	}
 	load := coordination.Load{Handled: now.handled - p.lastPublished.handled,
 		Shed: now.rejected - p.lastPublished.rejected}
-	for _, room := range figures.Headroom {
-		load.InFlight += float64(room.InFlight)
-		name, ok := now.serverNames[room.Server]
-		if room.Ejected && ok {
+	for _, headroom := range metrics.Headroom {
+		load.InFlight += float64(headroom.InFlight)
+		name, ok := now.serverNames[headroom.Server]
+		if headroom.Ejected && ok {
 			load.Ejected = append(load.Ejected, name)
 		}
 		if ok {
-			load.Capacities = append(load.Capacities, coordination.Capacity{Machine: name, Requests: room.MaxInFlight})
+			load.Capacities = append(load.Capacities, coordination.Capacity{Machine: name,
+				Requests: headroom.MaxInFlight})
 		}
 	}
-	for _, id := range figures.HotKeyServers {
+	for _, id := range metrics.HotKeyServers {
 		if name, ok := now.serverNames[id]; ok {
 			load.Hot = append(load.Hot, name)
 		}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -19,7 +19,8 @@
 		}
 	}
 	conn := &connection{inbox: p.inbox, clock: p.clock}
-	for _, effect := range []reducer.Effect{{At: future, StartBy: past}, {At: past}, {At: past, StartBy: future}} {
+	for _, effect := range []reducer.Effect{{At: future, StartBy: past}, {At: past},
+		{At: past, StartBy: future}} {
 		conn.write(writeJob{buffers: [][]byte{[]byte("x")}, tooLate: p.tooLateCheck(effect, written{conn: conn})})
 		<-p.inbox.wake
 		if items := p.inbox.takeAll(nil); len(items) != 1 || items[0].(written).err == nil {
