--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -117,8 +117,7 @@
 	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
 		MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers,
 		ServerIdleTimeout: p.settings.KeepAlive / idleTimeoutDivisor, Discovery: node.Discovery,
-		Decider: options.Decider, Trace: options.Trace,
-		Maintenance:    options.Peers != nil,
+		Decider: options.Decider, Trace: options.Trace, Maintenance: options.Peers != nil,
 		PublishMetrics: node.Admin != "" || options.Peers != nil}
 	if p.socketShared || !p.settings.AskForList {
 		cfg.ConfirmTimeout = p.now() + confirmTimeout
