--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -53,8 +53,8 @@
 	return -1
 }
 
-// Came is how much of the body has come.
-func (d *Body) Came() int64 { return d.came }
+// Received is how much of the body has come.
+func (d *Body) Received() int64 { return d.came }
 
 // TillClose tells whether the body ends with its connection.
 func (d *Body) TillClose() bool { return d.frame == tillClose }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -167,8 +167,8 @@
 	return m, body, rest
 }
 
-// Came is how much of the body has come of the message that is being read; Head tells whether its head has.
-func (p *Parser) Came() int64 { return p.body.came }
+// Received is how much of the body has come of the message that is being read; Head tells whether its head has.
+func (p *Parser) Received() int64 { return p.body.came }
 
 // Head tells whether the head has come of the message that is being read.
 func (p *Parser) Head() bool { return p.msg != nil }
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -49,7 +49,7 @@
 		}
 		event := reducer.ClientReading{Conn: conn.id}
 		if !conn.headTime.IsZero() {
-			event.BodyAllowance = time.Duration(conn.parser.Came()) * time.Second / minUploadRate
+			event.BodyAllowance = time.Duration(conn.parser.Received()) * time.Second / minUploadRate
 			event.Deadline = p.at(conn.headTime) + uploadPauseBudget + event.BodyAllowance
 		}
 		p.step(event)
@@ -96,7 +96,7 @@
 		stream := &bodyStream{message: message, source: conn, length: body.Known(),
 			buffers: p.buffers, isUpload: true, body: body}
 		conn.streaming = true
-		remaining := stream.length - body.Came()
+		remaining := stream.length - body.Received()
 		if stream.length < 0 {
 			remaining = http1.MaxLarge
 		}
