--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -95,8 +95,8 @@
 // Partial tells whether a message has begun that is not whole yet.
 func (p *Parser) Partial() bool { return p.msg != nil || len(p.buf) > 0 }
 
-// Held is the number of bytes kept.
-func (p *Parser) Held() int { return len(p.buf) }
+// Buffered is the number of bytes kept.
+func (p *Parser) Buffered() int { return len(p.buf) }
 
 // Next returns the next whole message, nil while it is not whole. An error is final.
 func (p *Parser) Next() (*Message, error) {
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -128,7 +128,7 @@
 		for ; err == nil && fed < 2*maxFraming; fed += len(piece) {
 			p.Feed([]byte(piece))
 			_, err = p.Next()
-			most = max(most, p.Held())
+			most = max(most, p.Buffered())
 		}
 		if err == nil || most > MaxHead+MaxBody {
 			t.Errorf("%.9q: error %v, %d bytes held", piece, err, most)
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -17,7 +17,7 @@
 	if conn.busy {
 		// Limits a client that keeps sending without waiting for responses. Its first request is
 		// still answered.
-		if truncated || conn.parser.Held() > maxPipelinedBytes {
+		if truncated || conn.parser.Buffered() > maxPipelinedBytes {
 			conn.discarding.Store(true)
 			p.step(reducer.ClientFlooding{Conn: conn.id})
 		}
