--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -170,8 +170,8 @@
 // Received is how much of the body has come of the message that is being read; Head tells whether its head has.
 func (p *Parser) Received() int64 { return p.body.came }
 
-// Head tells whether the head has come of the message that is being read.
-func (p *Parser) Head() bool { return p.msg != nil }
+// HeadComplete tells whether the head has come of the message that is being read.
+func (p *Parser) HeadComplete() bool { return p.msg != nil }
 
 // End says that the stream has ended. It returns a response whose body lasted until then.
 func (p *Parser) End() *Message {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -44,7 +44,7 @@
 			p.startUpload(conn)
 			return
 		}
-		if conn.parser.Head() && conn.headTime.IsZero() {
+		if conn.parser.HeadComplete() && conn.headTime.IsZero() {
 			conn.headTime = conn.lastRead
 		}
 		event := reducer.ClientReading{Conn: conn.id}
