--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -145,8 +145,8 @@
 // Stream hands it over.
 func (p *Parser) Large() bool { return p.large && p.err == nil }
 
-// Open tells whether the message that is being read has a body whose length is not known.
-func (p *Parser) Open() bool { return p.msg != nil && !p.body.Done && p.body.Known() < 0 }
+// LengthUnknown tells whether the message that is being read has a body whose length is not known.
+func (p *Parser) LengthUnknown() bool { return p.msg != nil && !p.body.Done && p.body.Known() < 0 }
 
 // Status is that of the response that is being read, 0 while its head has not come.
 func (p *Parser) Status() int {
@@ -157,7 +157,7 @@
 }
 
 // Enlarge has a message whose length is not known taken for a large one.
-func (p *Parser) Enlarge() { p.large = p.large || p.Open() }
+func (p *Parser) Enlarge() { p.large = p.large || p.LengthUnknown() }
 
 // Stream hands over a large message with as much of its body as has come, what decodes the rest, and
 // what has come behind the body.
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -33,7 +33,7 @@
 		conn.interruptRead()
 	case conn.parser.Large():
 		p.startDownload(conn)
-	case conn.parser.Open() && conn.parser.Status() == 200 && !conn.responseStarted:
+	case conn.parser.LengthUnknown() && conn.parser.Status() == 200 && !conn.responseStarted:
 		conn.responseStarted = true
 		p.step(reducer.ResponseStarted{Conn: conn.id})
 	}
