--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -37,7 +37,7 @@
 	Method, Target []byte // of a request
 	Status         int    // of a response
 	Close          bool   // the sender closes the connection behind it
-	Old            bool   // HTTP/1.0
+	HTTP10         bool   // HTTP/1.0
 	Fields         []Field
 	Body           []byte
 }
@@ -287,8 +287,8 @@
 // framing tells from the head where the body ends.
 func (p *Parser) framing(minor int) error {
 	m := p.msg
-	m.Old = minor == 0
-	m.Close = m.Old
+	m.HTTP10 = minor == 0
+	m.Close = m.HTTP10
 	lengths, codings, hosts := 0, 0, 0
 	for _, f := range m.Fields {
 		switch {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -61,8 +61,8 @@
 
 // handleRequest passes on a complete request.
 func (p *proxy) handleRequest(conn *connection, message *http1.Message) {
-	conn.http10, conn.headTime = message.Old, time.Time{}
-	message.Close = message.Close || message.Old
+	conn.http10, conn.headTime = message.HTTP10, time.Time{}
+	message.Close = message.Close || message.HTTP10
 	p.step(p.parsedRequest(conn, message))
 }
 
@@ -88,9 +88,9 @@
 		p.handleRequest(conn, message)
 		return
 	}
-	closeAfter := message.Close || message.Old
+	closeAfter := message.Close || message.HTTP10
 	message.Close = true // no other request can follow one that is answered before its end
-	conn.http10, conn.headTime = message.Old, time.Time{}
+	conn.http10, conn.headTime = message.HTTP10, time.Time{}
 	event := p.parsedRequest(conn, message)
 	if request, ok := event.(reducer.RequestReceived); ok {
 		stream := &bodyStream{message: message, source: conn, length: body.Known(),
