--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -23,7 +23,7 @@
 	noBody framing = iota
 	counted
 	chunked
-	tillClose
+	untilClose
 )
 
 type chunkState uint8
@@ -56,8 +56,8 @@
 // Received is how much of the body has come.
 func (d *Body) Received() int64 { return d.came }
 
-// TillClose tells whether the body ends with its connection.
-func (d *Body) TillClose() bool { return d.frame == tillClose }
+// UntilClose tells whether the body ends with its connection.
+func (d *Body) UntilClose() bool { return d.frame == untilClose }
 
 // Next takes bytes in. It returns the next part of the body, and what of the input is not looked at yet: it
 // is to be called until that is empty or the body is done; then the rest belongs to the next message.
@@ -70,7 +70,7 @@
 		data = in[:min(int64(len(in)), d.left)]
 		d.left -= int64(len(data))
 		d.Done = d.left == 0
-	case tillClose:
+	case untilClose:
 		data = in
 	case chunked:
 		if in, err = d.framingOf(in); err != nil || d.state != chunkData {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -175,7 +175,7 @@
 
 // End says that the stream has ended. It returns a response whose body lasted until then.
 func (p *Parser) End() *Message {
-	if p.err != nil || p.msg == nil || p.large || p.body.frame != tillClose {
+	if p.err != nil || p.msg == nil || p.large || p.body.frame != untilClose {
 		return nil
 	}
 	return p.take()
@@ -321,7 +321,7 @@
 	if p.Responses && (m.Status < 200 || m.Status == 204 || m.Status == 304) {
 		p.body = Body{Done: true}
 	} else if p.Responses && p.body.frame == noBody {
-		p.body.frame, m.Close = tillClose, true
+		p.body.frame, m.Close = untilClose, true
 	}
 	if p.body.frame == counted && p.body.left > MaxLarge {
 		return ErrBodySize
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -40,7 +40,7 @@
 					n := min(size, len(stream))
 					rest, stream = append([]byte(nil), stream[:n]...), stream[n:]
 				}
-				if !body.Done && !body.TillClose() {
+				if !body.Done && !body.UntilClose() {
 					return out.String()
 				}
 				describe(&out, m)
--- a/internal/transport/events.go
+++ b/internal/transport/events.go
@@ -164,7 +164,7 @@
 		message = conn.parser.End()
 	}
 	if message == nil && conn.parser.Large() {
-		if large, body, _ := conn.parser.Stream(); body.Done || body.TillClose() && !reset {
+		if large, body, _ := conn.parser.Stream(); body.Done || body.UntilClose() && !reset {
 			message = large
 		}
 	}
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -170,7 +170,7 @@
 	defer func() { s.buffers <- buffer }()
 	for !s.body.Done {
 		n, err := s.readSource(destination, buffer)
-		if n == 0 && err == io.EOF && s.body.TillClose() && !stdConnReset(s.source.stdConn) {
+		if n == 0 && err == io.EOF && s.body.UntilClose() && !stdConnReset(s.source.stdConn) {
 			return nil, send(nil, true)
 		}
 		if n == 0 && err != nil {
--- a/internal/transport/watcher.go
+++ b/internal/transport/watcher.go
@@ -186,7 +186,7 @@
 	for !body.Done {
 		input, err := w.readMore(deadline)
 		if err != nil {
-			if body.TillClose() && !w.wasReset() {
+			if body.UntilClose() && !w.wasReset() {
 				return message, nil
 			}
 			return nil, err
