--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -42,8 +42,8 @@
 	lastLF
 )
 
-// Known is the length that the head told, -1 when it told none.
-func (d *Body) Known() int64 {
+// Length is the length that the head told, -1 when it told none.
+func (d *Body) Length() int64 {
 	switch d.frame {
 	case noBody:
 		return 0
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -146,7 +146,7 @@
 func (p *Parser) Large() bool { return p.large && p.err == nil }
 
 // LengthUnknown tells whether the message that is being read has a body whose length is not known.
-func (p *Parser) LengthUnknown() bool { return p.msg != nil && !p.body.Done && p.body.Known() < 0 }
+func (p *Parser) LengthUnknown() bool { return p.msg != nil && !p.body.Done && p.body.Length() < 0 }
 
 // Status is that of the response that is being read, 0 while its head has not come.
 func (p *Parser) Status() int {
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -93,7 +93,7 @@
 	conn.http10, conn.headTime = message.HTTP10, time.Time{}
 	event := p.parsedRequest(conn, message)
 	if request, ok := event.(reducer.RequestReceived); ok {
-		stream := &bodyStream{message: message, source: conn, length: body.Known(),
+		stream := &bodyStream{message: message, source: conn, length: body.Length(),
 			buffers: p.buffers, isUpload: true, body: body}
 		conn.streaming = true
 		remaining := stream.length - body.Received()
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -64,5 +64,5 @@
 	conn.busy, conn.streaming = false, true
 	p.step(reducer.ResponseStreaming{Conn: conn.id, Load: event.Load, Payload: &bodyStream{message: message,
 		source: conn,
-		length: body.Known(), buffers: p.buffers, body: body}})
+		length: body.Length(), buffers: p.buffers, body: body}})
 }
