--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	want := "POST /api?a=b HTTP/1.1\r\nHost: h\r\nKeep: me\r\nWait: 2\r\nContent-Length: 1\r\n\r\na"
-	if got := string(bytes.Join(m.Forward("Wait", "2"), nil)); got != want {
+	if got := string(bytes.Join(m.ForwardRequest("Wait", "2"), nil)); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -196,7 +196,7 @@
 		p.Feed(append([]byte(nil), stream...))
 		if m, err := p.Next(); err == nil && m != nil {
 			var q Parser
-			q.Feed(bytes.Join(m.Forward("X", "1"), nil))
+			q.Feed(bytes.Join(m.ForwardRequest("X", "1"), nil))
 			again, err := q.Next()
 			// The new fields may push a head that is nearly full over the limit.
 			if err == nil && !bytes.Equal(again.Body, m.Body) || err != nil && !errors.Is(err, ErrHeadSize) {
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -38,9 +38,9 @@
 	return out
 }
 
-// Forward returns the request as it goes on, for a gathered write: the fields that pass on
+// ForwardRequest returns the request as it goes on, for a gathered write: the fields that pass on
 // unchanged, then the field that is set anew.
-func (m *Message) Forward(name, value string) [][]byte {
+func (m *Message) ForwardRequest(name, value string) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, onward)
 	out = m.passOn(out, name)
 	tail := name + ": " + value + "\r\n"
@@ -50,16 +50,16 @@
 	return append(out, []byte(tail+"\r\n"), m.Body)
 }
 
-// ForwardHead is the head of a request whose body follows as it comes; its length is -1 where it is not
+// ForwardRequestHead is the head of a request whose body follows as it comes; its length is -1 where it is not
 // known.
-func (m *Message) ForwardHead(name, value string, length int64) [][]byte {
+func (m *Message) ForwardRequestHead(name, value string, length int64) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, onward)
 	return append(m.passOn(out, name), []byte(name+": "+value+"\r\n"+framed(length)+"\r\n"))
 }
 
-// BackHead is the head of a response whose body follows as it comes. Where its length is not known, it goes
+// ForwardResponseHead is the head of a response whose body follows as it comes. Where its length is not known, it goes
 // in chunks, or, to who knows none, until the end of the connection.
-func (m *Message) BackHead(drop string, length int64, old, last bool) [][]byte {
+func (m *Message) ForwardResponseHead(drop string, length int64, old, last bool) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+4), statusLine(m.Status))
 	tail := framed(length)
 	if old && length < 0 {
@@ -87,8 +87,8 @@
 	LastChunk = []byte("0\r\n\r\n")
 )
 
-// Back returns a response as it goes back, less the field named in drop.
-func (m *Message) Back(drop string, last bool) [][]byte {
+// ForwardResponse returns a response as it goes back, less the field named in drop.
+func (m *Message) ForwardResponse(drop string, last bool) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+4), statusLine(m.Status))
 	out = m.passOn(out, drop)
 	return append(out, []byte(tail(len(m.Body), last)), m.Body)
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -27,7 +27,7 @@
 			conn.requestPending.Store(true)
 			if stream, ok := effect.Payload.(*bodyStream); ok && effect.Verdict == reducer.Served {
 				stream.http10 = conn.http10
-				conn.write(p.streamJob(stream, conn, stream.message.BackHead(fieldLoad, stream.length,
+				conn.write(p.streamJob(stream, conn, stream.message.ForwardResponseHead(fieldLoad, stream.length,
 					stream.http10, effect.Last)))
 				return
 			}
@@ -107,12 +107,12 @@
 	timeout := fmt.Sprint(max(1, (effect.At - p.now()).Milliseconds()))
 	if stream, ok := effect.Payload.(*bodyStream); ok {
 		conn.upload = stream
-		job := p.streamJob(stream, conn, stream.message.ForwardHead(fieldTimeout, timeout, stream.length))
+		job := p.streamJob(stream, conn, stream.message.ForwardRequestHead(fieldTimeout, timeout, stream.length))
 		job.tooLate = p.tooLateCheck(effect, written{conn: conn, stream: stream})
 		conn.write(job)
 		return
 	}
-	buffers := effect.Payload.(*http1.Message).Forward(fieldTimeout, timeout)
+	buffers := effect.Payload.(*http1.Message).ForwardRequest(fieldTimeout, timeout)
 	conn.write(writeJob{buffers: buffers, deadline: effect.At, report: true,
 		tooLate: p.tooLateCheck(effect, written{conn: conn})})
 }
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -202,7 +202,7 @@
 func encodeAnswer(effect reducer.Effect) [][]byte {
 	switch effect.Verdict {
 	case reducer.Served:
-		return effect.Payload.(*http1.Message).Back(fieldLoad, effect.Last)
+		return effect.Payload.(*http1.Message).ForwardResponse(fieldLoad, effect.Last)
 	case reducer.Invalid:
 		return effect.Payload.([][]byte)
 	case reducer.ReadyNow:
