--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -1,7 +1,7 @@
 package http1
 
-// MaxLarge is the largest body that is passed on as it comes.
-const MaxLarge = 32 << 20
+// MaxStreamedBody is the largest body that is passed on as it comes.
+const MaxStreamedBody = 32 << 20
 
 // Body decodes a message's body as it comes, in place: what belongs to the body is handed out as parts of
 // what was fed in. The zero value is a body that is not there.
@@ -81,7 +81,7 @@
 			d.state = chunkDataCR
 		}
 	}
-	if d.came += int64(len(data)); d.came > MaxLarge {
+	if d.came += int64(len(data)); d.came > MaxStreamedBody {
 		return nil, nil, ErrBodySize
 	}
 	return data, in[len(data):], nil
@@ -138,7 +138,7 @@
 			}
 		case chunkSizeEnd:
 			d.line, d.digits = 0, 0
-			if d.left > MaxLarge-d.came {
+			if d.left > MaxStreamedBody-d.came {
 				return nil, ErrBodySize
 			}
 			if ok = c == '\n'; d.left == 0 {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -298,7 +298,7 @@
 			if lengths++; err != nil || lengths > 1 {
 				return ErrMalformed
 			}
-			p.body = Body{frame: counted, left: int64(min(n, MaxLarge+1))}
+			p.body = Body{frame: counted, left: int64(min(n, MaxStreamedBody+1))}
 			p.body.Done = n == 0
 		case equalFold(f.Name, "Transfer-Encoding"):
 			if codings++; codings > 1 || !equalFold(f.Value, "chunked") || minor == 0 {
@@ -323,7 +323,7 @@
 	} else if p.Responses && p.body.frame == noBody {
 		p.body.frame, m.Close = untilClose, true
 	}
-	if p.body.frame == counted && p.body.left > MaxLarge {
+	if p.body.frame == counted && p.body.left > MaxStreamedBody {
 		return ErrBodySize
 	}
 	p.large = p.body.frame == counted && p.body.left > MaxBody
--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -98,7 +98,7 @@
 		conn.streaming = true
 		remaining := stream.length - body.Received()
 		if stream.length < 0 {
-			remaining = http1.MaxLarge
+			remaining = http1.MaxStreamedBody
 		}
 		request.Stream, request.Timeout, request.Last, request.Payload =
 			true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
