--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -156,8 +156,8 @@
 	return p.msg.Status
 }
 
-// Enlarge has a message whose length is not known taken for a large one.
-func (p *Parser) Enlarge() { p.large = p.large || p.LengthUnknown() }
+// MarkLarge has a message whose length is not known taken for a large one.
+func (p *Parser) MarkLarge() { p.large = p.large || p.LengthUnknown() }
 
 // Stream hands over a large message with as much of its body as has come, what decodes the rest, and
 // what has come behind the body.
--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -64,7 +64,7 @@
 		}
 	case reducer.StreamResponse:
 		if conn := p.serverConns[effect.Conn]; conn != nil && conn.busy {
-			conn.parser.Enlarge()
+			conn.parser.MarkLarge()
 			if conn.readPending {
 				conn.interruptRead()
 			} else {
