--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -102,8 +102,8 @@
 // Continue is the leave to send a body.
 func Continue() [][]byte { return [][]byte{[]byte("HTTP/1.1 100 Continue\r\n\r\n")} }
 
-// Ask returns a request without a body.
-func Ask(target, host string) [][]byte {
+// GetRequest returns a request without a body.
+func GetRequest(target, host string) [][]byte {
 	return [][]byte{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
 }
 
--- a/internal/transport/watcher.go
+++ b/internal/transport/watcher.go
@@ -118,7 +118,7 @@
 		}
 	}
 	w.inbox.post(discoveryConnected{w})
-	for _, part := range http1.Ask(next.target, w.address) {
+	for _, part := range http1.GetRequest(next.target, w.address) {
 		if _, err := w.conn.Writer().WriteBinary(part); err != nil {
 			return nil, err
 		}
