--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// Variable names the descriptor of the passed listening socket.
-const Variable = "NODE_PASSED_SOCKET"
+// SocketVariable names the descriptor of the passed listening socket.
+const SocketVariable = "NODE_PASSED_SOCKET"
 
 // Listener takes connections from a passed socket. It never ends the socket itself, which others listen on.
 type Listener struct {
@@ -24,20 +24,20 @@
 func Passed(descriptor string) (*Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
-		return nil, fmt.Errorf("%s: %q is no descriptor", Variable, descriptor)
+		return nil, fmt.Errorf("%s: %q is no descriptor", SocketVariable, descriptor)
 	}
 	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d is no socket here: %w", Variable, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d is no socket here: %w", SocketVariable, fd, err)
 	}
 	sa, err := syscall.Getsockname(fd)
 	addr := address(sa)
 	if listens == 0 || err != nil || addr == nil {
-		return nil, fmt.Errorf("%s: descriptor %d does not listen for TCP connections", Variable, fd)
+		return nil, fmt.Errorf("%s: descriptor %d does not listen for TCP connections", SocketVariable, fd)
 	}
 	// All processes share this flag; none may wait for a connection that another one takes.
 	if err := syscall.SetNonblock(fd, true); err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d: %w", Variable, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d: %w", SocketVariable, fd, err)
 	}
 	syscall.CloseOnExec(fd)
 	return &Listener{fd, addr}, nil
