--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -20,8 +20,8 @@
 	addr net.Addr
 }
 
-// Passed returns the listening socket whose descriptor is given. A fault names Variable.
-func Passed(descriptor string) (*Listener, error) {
+// InheritedListener returns the listening socket whose descriptor is given. A fault names Variable.
+func InheritedListener(descriptor string) (*Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
 		return nil, fmt.Errorf("%s: %q is no descriptor", SocketVariable, descriptor)
