--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -28,7 +28,7 @@
 }
 
 // Stamp notes when the handover is saved.
-func (h *Handover) Stamp(m Moment) { h.Saved, h.Monotonic, h.Boot = m.Wall, m.Monotonic, m.Boot }
+func (h *Handover) Stamp(m Instant) { h.Saved, h.Monotonic, h.Boot = m.Wall, m.Monotonic, m.Boot }
 
 // Of the file: its name, the version of its form, how large it may be, and how old.
 const (
@@ -60,7 +60,7 @@
 }
 
 // Load reads what was handed over. An error other than ErrNone says what is wrong with it.
-func Load(dir string, now Moment) (Handover, error) {
+func Load(dir string, now Instant) (Handover, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return Handover{}, ErrNone
@@ -79,7 +79,7 @@
 }
 
 // Parse checks and decodes a handover.
-func Parse(raw []byte, now Moment) (Handover, error) {
+func Parse(raw []byte, now Instant) (Handover, error) {
 	var h Handover
 	head, body, _ := bytes.Cut(raw, []byte("\n"))
 	var version, length int
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(body, &h); err != nil {
 		return Handover{}, fmt.Errorf("handover: %w", err)
 	}
-	h.Age = now.Since(Moment{h.Saved, h.Monotonic, h.Boot})
+	h.Age = now.Since(Instant{h.Saved, h.Monotonic, h.Boot})
 	if h.Age < -maxAge || h.Age > maxAge {
 		return Handover{}, fmt.Errorf("handover: %v old, at most %v", h.Age.Round(time.Millisecond), maxAge)
 	}
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -11,14 +11,14 @@
 )
 
 // later is a moment after so long on the two clocks.
-func (m Moment) later(wall, monotonic time.Duration) Moment {
-	return Moment{m.Wall.Add(wall), m.Monotonic + monotonic, m.Boot}
+func (m Instant) later(wall, monotonic time.Duration) Instant {
+	return Instant{m.Wall.Add(wall), m.Monotonic + monotonic, m.Boot}
 }
 
 // TestHandover covers a file cut at every byte, altered anywhere, of another version and too old: none is
 // taken.
 func TestHandover(t *testing.T) {
-	dir, now := t.TempDir(), Moment{Wall: time.Unix(1e9, 0), Monotonic: time.Hour, Boot: "x"}
+	dir, now := t.TempDir(), Instant{Wall: time.Unix(1e9, 0), Monotonic: time.Hour, Boot: "x"}
 	if _, err := Load(dir, now); err != ErrNone {
 		t.Errorf("an empty folder: %v", err)
 	}
@@ -34,7 +34,7 @@
 	if err != nil || got.Learned.Usual != 2 || !bytes.Equal(got.Routes, want.Routes) {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	for _, at := range []Moment{now.later(time.Hour, time.Hour), now.later(-time.Hour, -time.Hour),
+	for _, at := range []Instant{now.later(time.Hour, time.Hour), now.later(-time.Hour, -time.Hour),
 		now.later(0, time.Hour), {Wall: now.Wall.Add(time.Hour), Monotonic: time.Hour, Boot: "y"}} {
 		if _, err := Load(dir, at); err == nil {
 			t.Errorf("one of %v was taken at %v", now, at)
@@ -69,5 +69,5 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("lilacglade 1 2 00000000\n{}"))
-	f.Fuzz(func(t *testing.T, raw []byte) { _, _ = Parse(raw, Moment{Wall: time.Unix(1e9, 0)}) })
+	f.Fuzz(func(t *testing.T, raw []byte) { _, _ = Parse(raw, Instant{Wall: time.Unix(1e9, 0)}) })
 }
