--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -112,7 +112,7 @@
 	p.handoverWriter = newHandoverWriter(node.Temp)
 	now := upgrade.Now()
 	handover, err := upgrade.Load(node.Temp, now)
-	if err == upgrade.ErrNone {
+	if err == upgrade.ErrNoHandover {
 		return false
 	}
 	if err != nil {
--- a/internal/upgrade/handover.go
+++ b/internal/upgrade/handover.go
@@ -38,8 +38,8 @@
 	maxAge   = 10 * time.Second
 )
 
-// ErrNone says that nothing was handed over.
-var ErrNone = errors.New("nothing was handed over")
+// ErrNoHandover says that nothing was handed over.
+var ErrNoHandover = errors.New("nothing was handed over")
 
 // Save writes a handover into a folder: beside, then renamed into place, so that no reader sees half of
 // one.
@@ -63,7 +63,7 @@
 func Load(dir string, now Instant) (Handover, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, os.ErrNotExist) {
-		return Handover{}, ErrNone
+		return Handover{}, ErrNoHandover
 	} else if err != nil {
 		return Handover{}, err
 	}
--- a/internal/upgrade/handover_test.go
+++ b/internal/upgrade/handover_test.go
@@ -19,7 +19,7 @@
 // taken.
 func TestHandover(t *testing.T) {
 	dir, now := t.TempDir(), Instant{Wall: time.Unix(1e9, 0), Monotonic: time.Hour, Boot: "x"}
-	if _, err := Load(dir, now); err != ErrNone {
+	if _, err := Load(dir, now); err != ErrNoHandover {
 		t.Errorf("an empty folder: %v", err)
 	}
 	want := Handover{Routes: []byte(`{"generation":3}`), Learned: lg.Learned{Usual: 2}}
