--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -32,8 +32,8 @@
 	takeFor  = 10 * time.Second // an answer that is not read is given up
 )
 
-// Door answers operators' calls.
-type Door struct {
+// Server answers operators' calls.
+type Server struct {
 	// Work answers what follows the word WORK in a call; nil: there is no such call. It may wait for other
 	// proxies, so it is owed within some seconds only. It is set before Listen.
 	Work    func(call string) []byte
@@ -52,12 +52,12 @@
 }
 
 // Show has the figures shown from now on. They must not change any more.
-func (d *Door) Show(f *reducer.Metrics) { d.figures.Store(f) }
+func (d *Server) Show(f *reducer.Metrics) { d.figures.Store(f) }
 
 type guestKey struct{}
 
 // Listen opens the door at an address and answers until the process ends.
-func (d *Door) Listen(address string) error {
+func (d *Server) Listen(address string) error {
 	var ln netpoll.Listener
 	if err := transient.Retry(listenFor, transient.Opening, func() (err error) {
 		ln, err = netpoll.CreateListener("tcp", address)
@@ -94,7 +94,7 @@
 
 // opened takes in a connection. Guards against callers who hold connections and say nothing: they can't
 // keep others out.
-func (d *Door) opened(conn netpoll.Connection) context.Context {
+func (d *Server) opened(conn netpoll.Connection) context.Context {
 	g := &guest{conn: conn, fd: -1}
 	if c, ok := conn.(netpoll.Conn); ok {
 		g.fd = c.Fd()
@@ -115,7 +115,7 @@
 	return context.WithValue(context.Background(), guestKey{}, g)
 }
 
-func (d *Door) left(g *guest) {
+func (d *Server) left(g *guest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, o := range d.conns {
@@ -127,7 +127,7 @@
 }
 
 // heard takes what has come on a connection. It runs for one connection at a time only.
-func (d *Door) heard(ctx context.Context, conn netpoll.Connection) error {
+func (d *Server) heard(ctx context.Context, conn netpoll.Connection) error {
 	g, _ := ctx.Value(guestKey{}).(*guest)
 	r := conn.Reader()
 	n := r.Len()
@@ -161,7 +161,7 @@
 
 // answer writes an answer and ends the connection. It goes past the library, which takes a caller that has
 // ended its sending for one that has left; while this runs the descriptor stays open.
-func (d *Door) answer(g *guest, text []byte) {
+func (d *Server) answer(g *guest, text []byte) {
 	g.done, g.line = true, nil
 	for by := time.Now().Add(takeFor); len(text) > 0; {
 		n, err := syscall.Write(g.fd, text)
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -64,7 +64,7 @@
 	clientConns       map[reducer.ConnID]*connection
 	serverConns       map[reducer.ConnID]*connection
 	timer             *time.Timer
-	adminServer       *admin.Door     // nil: no operator interface
+	adminServer       *admin.Server   // nil: no operator interface
 	socketShared      bool            // the listening socket is shared with other processes of this proxy
 	startAccepting    func()          // starts accepting connections; nil once that is done
 	handoverWriter    *handoverWriter // nil: no handover to a next process
@@ -135,7 +135,7 @@
 		}
 	}
 	if node.Admin != "" {
-		p.adminServer = new(admin.Door)
+		p.adminServer = new(admin.Server)
 		if p.peers != nil {
 			p.adminServer.Work = p.peers.Work
 		}
