--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -51,8 +51,8 @@
 	done bool   // it was answered
 }
 
-// Show has the figures shown from now on. They must not change any more.
-func (d *Server) Show(f *reducer.Metrics) { d.figures.Store(f) }
+// Publish has the figures shown from now on. They must not change any more.
+func (d *Server) Publish(f *reducer.Metrics) { d.figures.Store(f) }
 
 type guestKey struct{}
 
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -65,7 +65,7 @@
 // publish reports the figures to operators, and the load derived from them to the other proxies.
 func (p *proxy) publish(figures *reducer.Metrics) {
 	if p.adminServer != nil {
-		p.adminServer.Show(figures)
+		p.adminServer.Publish(figures)
 	}
 	if p.peers == nil {
 		return
