--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -13,16 +13,16 @@
 
 // Node is the configuration of one proxy.
 type Node struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // where operators call; empty: nowhere
-	Seed      uint64
-	Passed    string // descriptor of a listening socket that is passed to the process; empty: none
-	Temp      string // folder for what one process hands over to the next
-	Limits    Limits
-	Known     json.RawMessage // the server list as last had, in discovery's form
-	Settings  Settings
+	Name         string
+	Listen       string
+	Discovery    string
+	Admin        string // where operators call; empty: nowhere
+	Seed         uint64
+	PassedSocket string // descriptor of a listening socket that is passed to the process; empty: none
+	Temp         string // folder for what one process hands over to the next
+	Limits       Limits
+	Known        json.RawMessage // the server list as last had, in discovery's form
+	Settings     Settings
 
 	raw []byte // the file
 }
@@ -89,7 +89,7 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Node{}, place(raw, 0, err)
 	}
-	n := Node{raw: raw, Limits: in.Limits, Known: in.Known, Passed: getenv("NODE_PASSED_SOCKET"),
+	n := Node{raw: raw, Limits: in.Limits, Known: in.Known, PassedSocket: getenv("NODE_PASSED_SOCKET"),
 		Temp: getenv("TMPDIR")}
 	for _, v := range []struct {
 		to            *string
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -56,8 +56,8 @@
 
 // listen opens the address, or takes over the socket that was passed.
 func listen(node settings.Node) (netpoll.Listener, error) {
-	if node.Passed != "" {
-		ln, err := upgrade.InheritedListener(node.Passed)
+	if node.PassedSocket != "" {
+		ln, err := upgrade.InheritedListener(node.PassedSocket)
 		if err != nil {
 			return nil, err // not ln: a nil pointer in an interface is not nil
 		}
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -112,7 +112,7 @@
 	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
 	maxClients, maxServers := connectionLimits(node.Limits)
 	var err error
-	p.socketShared = node.Passed != ""
+	p.socketShared = node.PassedSocket != ""
 	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
 	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
 		MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers,
