--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -19,7 +19,7 @@
 	Admin        string // where operators call; empty: nowhere
 	Seed         uint64
 	PassedSocket string // descriptor of a listening socket that is passed to the process; empty: none
-	Temp         string // folder for what one process hands over to the next
+	HandoverDir  string // folder for what one process hands over to the next
 	Limits       Limits
 	Known        json.RawMessage // the server list as last had, in discovery's form
 	Settings     Settings
@@ -90,7 +90,7 @@
 		return Node{}, place(raw, 0, err)
 	}
 	n := Node{raw: raw, Limits: in.Limits, Known: in.Known, PassedSocket: getenv("NODE_PASSED_SOCKET"),
-		Temp: getenv("TMPDIR")}
+		HandoverDir: getenv("TMPDIR")}
 	for _, v := range []struct {
 		to            *string
 		key, env, own string
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -106,12 +106,12 @@
 // takeOver applies what the previous process handed over. If any of it is unusable, this process
 // starts from its configuration alone.
 func (p *proxy) takeOver(node settings.Node) bool {
-	if !p.socketShared || node.Temp == "" {
+	if !p.socketShared || node.HandoverDir == "" {
 		return false
 	}
-	p.handoverWriter = newHandoverWriter(node.Temp)
+	p.handoverWriter = newHandoverWriter(node.HandoverDir)
 	now := upgrade.Now()
-	handover, err := upgrade.Load(node.Temp, now)
+	handover, err := upgrade.Load(node.HandoverDir, now)
 	if err == upgrade.ErrNoHandover {
 		return false
 	}
