--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -1,159 +1,162 @@
 package http1
 
-// MaxStreamedBody is the largest body that is passed on as it comes.
+// MaxStreamedBody is the size in bytes of the largest body that is accepted, streamed or buffered.
 const MaxStreamedBody = 32 << 20
 
-// Body decodes a message's body as it comes, in place: what belongs to the body is handed out as parts of
-// what was fed in. The zero value is a body that is not there.
+// Body decodes a message body incrementally and in place: decoded data is returned as slices of the
+// input. The zero value is an absent body.
 type Body struct {
-	Done bool // the body is whole
+	Done bool // the body is complete
 
-	frame  framing
-	left   int64 // counted: of the body; chunked: of the chunk
-	state  chunkState
-	digits int
-	line   int // bytes of the line that is being read
-	framed int // bytes that were not the body's
-	came   int64
+	framing      bodyFraming
+	remaining    int64 // bytes left, of the body if its length is fixed, of the current chunk if it is chunked
+	state        chunkState
+	sizeDigits   int   // hexadecimal digits read of the chunk size
+	lineLength   int   // bytes read of the current framing line
+	framingBytes int   // bytes of chunk sizes, extensions, line ends and trailers
+	received     int64 // bytes of decoded data
 }
 
-type framing uint8
+// bodyFraming is the way in which the end of a body is found (RFC 9112, section 6).
+type bodyFraming uint8
 
 const (
-	noBody framing = iota
-	counted
+	noBody bodyFraming = iota
+	fixedLength
 	chunked
 	untilClose
 )
 
+// chunkState is what the decoder of a chunked body expects next.
 type chunkState uint8
 
 const (
-	chunkSize  chunkState = iota
-	chunkSpace            // behind the digits
-	chunkExt              // what says more of the chunk, and is skipped
-	chunkSizeEnd
+	chunkSize      chunkState = iota
+	chunkSizeSpace            // whitespace after the digits
+	chunkExtension            // skipped
+	chunkSizeLF
 	chunkData
 	chunkDataCR
 	chunkDataLF
-	trailerStart
+	trailerLineStart
 	trailerLine
 	trailerLF
-	lastLF
+	finalLF
 )
 
-// Length is the length that the head told, -1 when it told none.
+// Length returns the length in bytes that the head declares, or -1 if it declares none.
 func (d *Body) Length() int64 {
-	switch d.frame {
+	switch d.framing {
 	case noBody:
 		return 0
-	case counted:
-		return d.came + d.left
+	case fixedLength:
+		return d.received + d.remaining
 	}
 	return -1
 }
 
-// Received is how much of the body has come.
-func (d *Body) Received() int64 { return d.came }
+// Received returns the number of body bytes decoded so far.
+func (d *Body) Received() int64 { return d.received }
 
-// UntilClose tells whether the body ends with its connection.
-func (d *Body) UntilClose() bool { return d.frame == untilClose }
+// UntilClose reports whether the body ends when its connection closes.
+func (d *Body) UntilClose() bool { return d.framing == untilClose }
 
-// Next takes bytes in. It returns the next part of the body, and what of the input is not looked at yet: it
-// is to be called until that is empty or the body is done; then the rest belongs to the next message.
-func (d *Body) Next(in []byte) (data, rest []byte, err error) {
-	switch d.frame {
+// Next decodes input. It returns the next part of the body and the input that is not decoded yet. The caller
+// repeats the call until rest is empty or Done is set; after that, rest belongs to the next message.
+func (d *Body) Next(input []byte) (data, rest []byte, err error) {
+	switch d.framing {
 	case noBody:
 		d.Done = true
-		return nil, in, nil
-	case counted:
-		data = in[:min(int64(len(in)), d.left)]
-		d.left -= int64(len(data))
-		d.Done = d.left == 0
+		return nil, input, nil
+	case fixedLength:
+		data = input[:min(int64(len(input)), d.remaining)]
+		d.remaining -= int64(len(data))
+		d.Done = d.remaining == 0
 	case untilClose:
-		data = in
+		data = input
 	case chunked:
-		if in, err = d.framingOf(in); err != nil || d.state != chunkData {
-			return nil, in, err
+		if input, err = d.skipFraming(input); err != nil || d.state != chunkData {
+			return nil, input, err
 		}
-		data = in[:min(int64(len(in)), d.left)]
-		if d.left -= int64(len(data)); d.left == 0 {
+		data = input[:min(int64(len(input)), d.remaining)]
+		if d.remaining -= int64(len(data)); d.remaining == 0 {
 			d.state = chunkDataCR
 		}
 	}
-	if d.came += int64(len(data)); d.came > MaxStreamedBody {
+	if d.received += int64(len(data)); d.received > MaxStreamedBody {
 		return nil, nil, ErrBodySize
 	}
-	return data, in[len(data):], nil
+	return data, input[len(data):], nil
 }
 
-// framingOf reads what stands between a chunked body's data. It returns where data begins, or ends, or
-// nothing when all was read.
-func (d *Body) framingOf(in []byte) ([]byte, error) {
-	for i, c := range in {
+// skipFraming reads the framing around the data of a chunked body. It returns the input from the next chunk
+// data on or, after the body, from the next message on, and nil when all input was framing.
+func (d *Body) skipFraming(input []byte) ([]byte, error) {
+	for i, c := range input {
 		if d.state == chunkData {
-			return in[i:], nil
+			return input[i:], nil
 		}
-		// Guards against framing without end: it may be several times what it frames, and some more.
-		if d.framed++; int64(d.framed) > maxFraming+maxFramingParts*d.came {
+		// Prevents endless framing around little data: framing may exceed the data it frames only by a
+		// constant factor and a constant.
+		if d.framingBytes++; int64(d.framingBytes) > maxFramingBase+maxFramingPerByte*d.received {
 			return nil, ErrMalformed
 		}
-		if d.line++; d.line > MaxHead {
+		if d.lineLength++; d.lineLength > MaxHead {
 			return nil, ErrMalformed
 		}
 		ok := true
 		switch d.state {
 		case chunkSize:
-			v := hex(c)
+			digit := hexDigit(c)
 			switch {
-			case v >= 0 && d.digits < 15:
-				d.left = d.left<<4 | int64(v)
-				d.digits++
-			case d.digits == 0 || v >= 0:
+			case digit >= 0 && d.sizeDigits < 15: // 60 bits, which an int64 holds
+				d.remaining = d.remaining<<4 | int64(digit)
+				d.sizeDigits++
+			case d.sizeDigits == 0 || digit >= 0:
 				ok = false
 			case c == '\r':
-				d.state = chunkSizeEnd
+				d.state = chunkSizeLF
 			case c == ';':
-				d.state = chunkExt
+				d.state = chunkExtension
 			case c == ' ' || c == '\t':
-				d.state = chunkSpace
+				d.state = chunkSizeSpace
 			default:
 				ok = false
 			}
-		case chunkSpace:
+		case chunkSizeSpace:
 			switch c {
 			case ' ', '\t':
 			case '\r':
-				d.state = chunkSizeEnd
+				d.state = chunkSizeLF
 			case ';':
-				d.state = chunkExt
+				d.state = chunkExtension
 			default:
 				ok = false
 			}
-		case chunkExt:
+		case chunkExtension:
 			if c == '\r' {
-				d.state = chunkSizeEnd
+				d.state = chunkSizeLF
 			} else {
 				ok = isText(c)
 			}
-		case chunkSizeEnd:
-			d.line, d.digits = 0, 0
-			if d.left > MaxStreamedBody-d.came {
+		case chunkSizeLF:
+			d.lineLength, d.sizeDigits = 0, 0
+			if d.remaining > MaxStreamedBody-d.received {
 				return nil, ErrBodySize
 			}
-			if ok = c == '\n'; d.left == 0 {
-				d.state = trailerStart
+			if ok = c == '\n'; d.remaining == 0 {
+				d.state = trailerLineStart
 			} else {
 				d.state = chunkData
 			}
 		case chunkDataCR:
 			ok, d.state = c == '\r', chunkDataLF
 		case chunkDataLF:
-			d.line = 0
+			d.lineLength = 0
 			ok, d.state = c == '\n', chunkSize
-		case trailerStart:
+		case trailerLineStart:
 			if d.state = trailerLine; c == '\r' {
-				d.state = lastLF
+				d.state = finalLF
 			} else {
 				ok = isText(c) && c != ' ' && c != '\t'
 			}
@@ -164,13 +167,13 @@
 				ok = isText(c)
 			}
 		case trailerLF:
-			ok, d.state = c == '\n', trailerStart
-		case lastLF:
+			ok, d.state = c == '\n', trailerLineStart
+		case finalLF:
 			if c != '\n' {
 				return nil, ErrMalformed
 			}
 			d.Done = true
-			return in[i+1:], nil
+			return input[i+1:], nil
 		}
 		if !ok {
 			return nil, ErrMalformed
@@ -179,7 +182,8 @@
 	return nil, nil
 }
 
-func hex(c byte) int {
+// hexDigit returns the value of a hexadecimal digit, or -1 if c is none.
+func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages. Heads are parsed in place: what a
-// Message holds are slices of the bytes that were fed in. It knows no sockets.
+// Package http1 reads and writes HTTP/1.1 messages. Messages are parsed in place: the slices in a Message
+// point into the bytes that were fed to the Parser. The package does no input or output.
 package http1
 
 import (
@@ -9,40 +9,40 @@
 	"strings"
 )
 
-// The largest messages that are read.
+// Size limits, in bytes.
 const (
-	MaxHead = 16 << 10
-	MaxBody = 64 << 10
+	MaxHead = 16 << 10 // request or status line and fields; also one framing line of a chunked body
+	MaxBody = 64 << 10 // a body that is buffered; a larger one is streamed, up to MaxStreamedBody
 )
 
-// The most that may frame a chunked body: sizes, extensions and trailers, a part of it for each byte of the
-// body. It lets through a body that comes in chunks of one byte.
+// The framing of a chunked body (sizes, extensions and trailers) may take maxFramingBase bytes plus
+// maxFramingPerByte bytes for each byte of the body. This accepts a body sent in chunks of one byte.
 const (
-	maxFraming      = 2 * MaxHead
-	maxFramingParts = 8
+	maxFramingBase    = 2 * MaxHead
+	maxFramingPerByte = 8
 )
 
-// What can be wrong with a message.
+// Errors that Parser.Next and Body.Next return.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrHeadSize  = errors.New("head too large")
 	ErrBodySize  = errors.New("body too large")
 )
 
-// Field is one line of a head.
+// Field is one header field.
 type Field struct{ Name, Value []byte }
 
-// Message is a whole request or response. It owns the bytes that its slices point into.
+// Message is a request or a response. It owns the bytes that its slices point into.
 type Message struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
-	Close          bool   // the sender closes the connection behind it
-	HTTP10         bool   // HTTP/1.0
+	Method, Target []byte // set for a request
+	Status         int    // set for a response
+	Close          bool   // the sender closes the connection after this message
+	HTTP10         bool   // the version is HTTP/1.0
 	Fields         []Field
 	Body           []byte
 }
 
-// Get returns the first field of that name, nil if there is none.
+// Get returns the value of the first field with the given name, or nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for _, f := range m.Fields {
 		if equalFold(f.Name, name) {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Count is the number of fields of that name.
+// Count returns the number of fields with the given name.
 func (m *Message) Count(name string) (n int) {
 	for _, f := range m.Fields {
 		if equalFold(f.Name, name) {
@@ -62,78 +62,80 @@
 	return n
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (m *Message) Path() []byte {
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	return path
 }
 
-// Parser cuts a stream of bytes into messages. The zero value reads requests.
+// Parser splits a stream of bytes into messages. The zero value reads requests.
 type Parser struct {
-	Responses bool
-
-	buf     []byte
-	scanned int // no head ends before here
-	msg     *Message
-	body    Body
-	at, end int // next byte of the body to decode; where the decoded ends
-	start   int // and where it starts
-	large   bool
-	asked   bool
-	err     error
+	Responses bool // the stream consists of responses
+
+	buf                []byte
+	scanned            int // offset in buf before which no head ends
+	message            *Message
+	body               Body
+	undecoded, bodyEnd int  // offsets in buf: next byte of the body to decode; end of the decoded body
+	bodyStart          int  // offset in buf where the decoded body begins
+	large              bool // see Large
+	reported           bool // WantsContinue has returned true
+	err                error
 }
 
-// Feed adds bytes, which the Parser owns from then on.
-func (p *Parser) Feed(b []byte) {
+// Feed adds input. The Parser owns the slice from then on.
+func (p *Parser) Feed(input []byte) {
 	if len(p.buf) == 0 {
-		p.buf = b
+		p.buf = input
 		return
 	}
-	p.buf = append(p.buf, b...)
+	p.buf = append(p.buf, input...)
 }
 
-// Partial tells whether a message has begun that is not whole yet.
-func (p *Parser) Partial() bool { return p.msg != nil || len(p.buf) > 0 }
+// Partial reports whether a message has begun but is not complete.
+func (p *Parser) Partial() bool { return p.message != nil || len(p.buf) > 0 }
 
-// Buffered is the number of bytes kept.
+// Buffered returns the number of buffered bytes.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Next returns the next whole message, nil while it is not whole. An error is final.
+// Next returns the next complete message, or nil if more input is needed. An error is final: later calls
+// return it again.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
 	}
-	m, err := p.next()
+	message, err := p.parse()
 	p.err = err
-	return m, err
+	return message, err
 }
 
-func (p *Parser) next() (*Message, error) {
-	if p.msg == nil {
-		if err := p.readHead(); err != nil || p.msg == nil {
+// parse is Next without the check for an earlier error.
+func (p *Parser) parse() (*Message, error) {
+	if p.message == nil {
+		if err := p.readHead(); err != nil || p.message == nil {
 			return nil, err
 		}
 	}
-	// The body is decoded over itself. Guards against one that is small and its framing endless: what was
-	// decoded is not kept twice.
-	for !p.body.Done && (p.at < len(p.buf) || p.body.frame == noBody) {
-		data, rest, err := p.body.Next(p.buf[p.at:])
+	// The body is decoded in place, over its own framing. Otherwise a small body with endless framing would
+	// fill the buffer.
+	for !p.body.Done && (p.undecoded < len(p.buf) || p.body.framing == noBody) {
+		data, rest, err := p.body.Next(p.buf[p.undecoded:])
 		if err != nil {
 			return nil, err
 		}
-		if p.end < len(p.buf)-len(rest)-len(data) {
-			copy(p.buf[p.end:], data)
+		if p.bodyEnd < len(p.buf)-len(rest)-len(data) {
+			copy(p.buf[p.bodyEnd:], data)
 		}
-		p.end += len(data)
-		p.at = len(p.buf) - len(rest)
+		p.bodyEnd += len(data)
+		p.undecoded = len(p.buf) - len(rest)
 	}
-	p.msg.Body = p.buf[p.start:p.end:p.end]
-	if p.end-p.start > MaxBody {
+	p.message.Body = p.buf[p.bodyStart:p.bodyEnd:p.bodyEnd]
+	if p.bodyEnd-p.bodyStart > MaxBody {
 		p.large = true
 	}
 	if !p.body.Done {
-		p.buf = append(p.buf[:p.end], p.buf[p.at:]...)
-		p.at = p.end
+		p.buf = append(p.buf[:p.bodyEnd], p.buf[p.undecoded:]...)
+		p.undecoded = p.bodyEnd
 	}
 	if !p.body.Done || p.large {
 		return nil, nil
@@ -141,87 +143,88 @@
 	return p.take(), nil
 }
 
-// Large tells whether the message that is being read has a body beyond MaxBody: Next never returns it.
-// Stream hands it over.
+// Large reports whether the body of the current message exceeds MaxBody, or MarkLarge was called. Next never
+// returns such a message; the caller takes it with Stream.
 func (p *Parser) Large() bool { return p.large && p.err == nil }
 
-// LengthUnknown tells whether the message that is being read has a body whose length is not known.
-func (p *Parser) LengthUnknown() bool { return p.msg != nil && !p.body.Done && p.body.Length() < 0 }
+// LengthUnknown reports whether the current message has an incomplete body of undeclared length.
+func (p *Parser) LengthUnknown() bool { return p.message != nil && !p.body.Done && p.body.Length() < 0 }
 
-// Status is that of the response that is being read, 0 while its head has not come.
+// Status returns the status of the current response, or 0 until its head is complete.
 func (p *Parser) Status() int {
-	if p.msg == nil {
+	if p.message == nil {
 		return 0
 	}
-	return p.msg.Status
+	return p.message.Status
 }
 
-// MarkLarge has a message whose length is not known taken for a large one.
+// MarkLarge makes the current message a large one if the length of its body is unknown.
 func (p *Parser) MarkLarge() { p.large = p.large || p.LengthUnknown() }
 
-// Stream hands over a large message with as much of its body as has come, what decodes the rest, and
-// what has come behind the body.
-func (p *Parser) Stream() (m *Message, body Body, rest []byte) {
-	m, body, rest = p.msg, p.body, p.buf[p.at:]
+// Stream returns the current large message with the part of its body received so far, the decoder for the
+// remaining body, and the input that is not decoded yet. It resets the Parser.
+func (p *Parser) Stream() (message *Message, body Body, rest []byte) {
+	message, body, rest = p.message, p.body, p.buf[p.undecoded:]
 	*p = Parser{Responses: p.Responses}
-	return m, body, rest
+	return message, body, rest
 }
 
-// Received is how much of the body has come of the message that is being read; Head tells whether its head has.
-func (p *Parser) Received() int64 { return p.body.came }
+// Received returns the number of body bytes decoded so far of the current message.
+func (p *Parser) Received() int64 { return p.body.received }
 
-// HeadComplete tells whether the head has come of the message that is being read.
-func (p *Parser) HeadComplete() bool { return p.msg != nil }
+// HeadComplete reports whether the head of the current message is complete.
+func (p *Parser) HeadComplete() bool { return p.message != nil }
 
-// End says that the stream has ended. It returns a response whose body lasted until then.
+// End handles the end of the stream. It returns the response whose body ends there, or nil if there is none.
 func (p *Parser) End() *Message {
-	if p.err != nil || p.msg == nil || p.large || p.body.frame != untilClose {
+	if p.err != nil || p.message == nil || p.large || p.body.framing != untilClose {
 		return nil
 	}
 	return p.take()
 }
 
-// take hands the message over with its bytes: what follows moves to a buffer of its own, so
-// that a message still being written elsewhere never changes under the writer's hands.
+// take returns the current message with its bytes and resets the Parser. Input that follows is copied to a
+// new buffer, because later input must not overwrite a message that is still being written elsewhere.
 func (p *Parser) take() *Message {
-	m := p.msg
-	rest := p.buf[p.at:]
+	message := p.message
+	rest := p.buf[p.undecoded:]
 	*p = Parser{Responses: p.Responses}
 	if len(rest) > 0 {
 		p.buf = append([]byte(nil), rest...)
 	}
-	return m
+	return message
 }
 
-// WantsContinue tells, once for each request, that the sender waits for leave to send the body.
+// WantsContinue reports whether the client waits for a 100 (Continue) response before it sends the body. It
+// returns true once per request.
 func (p *Parser) WantsContinue() bool {
-	if p.msg == nil || p.asked || p.err != nil || !equalFold(p.msg.Get("Expect"), "100-continue") {
+	if p.message == nil || p.reported || p.err != nil || !equalFold(p.message.Get("Expect"), "100-continue") {
 		return false
 	}
-	p.asked = true
+	p.reported = true
 	return true
 }
 
-// readHead looks for a whole head and parses it.
+// readHead parses the head of the next message if it is complete.
 func (p *Parser) readHead() error {
 	for !p.Responses && p.scanned == 0 && len(p.buf) > 1 && p.buf[0] == '\r' && p.buf[1] == '\n' {
 		p.buf = p.buf[2:] // an empty line before a request is skipped, as RFC 9112 advises
 	}
-	n := bytes.Index(p.buf[p.scanned:], []byte("\r\n\r\n"))
-	if n < 0 {
+	end := bytes.Index(p.buf[p.scanned:], []byte("\r\n\r\n"))
+	if end < 0 {
 		if len(p.buf) > MaxHead {
 			return ErrHeadSize
 		}
 		p.scanned = max(0, len(p.buf)-3)
 		return nil
 	}
-	n += p.scanned
-	if n+4 > MaxHead {
+	end += p.scanned
+	if end+4 > MaxHead {
 		return ErrHeadSize
 	}
-	m := &Message{Fields: make([]Field, 0, 16)}
-	line, rest, _ := bytes.Cut(p.buf[:n+2], []byte("\r\n"))
-	minor, err := m.startLine(line, p.Responses)
+	message := &Message{Fields: make([]Field, 0, 16)}
+	line, rest, _ := bytes.Cut(p.buf[:end+2], []byte("\r\n"))
+	minor, err := message.parseStartLine(line, p.Responses)
 	if err != nil {
 		return err
 	}
@@ -229,32 +232,32 @@
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		value = bytes.Trim(value, " \t")
-		if !ok || !token(name) || !text(value) {
+		if !ok || !isToken(name) || !isTextOnly(value) {
 			return ErrMalformed
 		}
-		m.Fields = append(m.Fields, Field{name, value})
+		message.Fields = append(message.Fields, Field{name, value})
 	}
-	p.at, p.start, p.end = n+4, n+4, n+4
-	p.msg = m
-	return p.framing(minor)
+	p.undecoded, p.bodyStart, p.bodyEnd = end+4, end+4, end+4
+	p.message = message
+	return p.setFraming(minor)
 }
 
-// startLine parses a request line or a status line and returns the minor version.
-func (m *Message) startLine(line []byte, response bool) (int, error) {
-	a, rest, _ := bytes.Cut(line, []byte(" "))
-	b, c, _ := bytes.Cut(rest, []byte(" "))
-	if !text(line) {
+// parseStartLine parses a request line or a status line and returns the minor version.
+func (m *Message) parseStartLine(line []byte, response bool) (int, error) {
+	first, rest, _ := bytes.Cut(line, []byte(" "))
+	second, third, _ := bytes.Cut(rest, []byte(" "))
+	if !isTextOnly(line) {
 		return 0, ErrMalformed
 	}
-	version := c
+	version := third
 	if response {
-		version = a
-		status, err := strconv.Atoi(string(b))
-		if err != nil || len(b) != 3 || status < 100 {
+		version = first
+		status, err := strconv.Atoi(string(second))
+		if err != nil || len(second) != 3 || status < 100 {
 			return 0, ErrMalformed
 		}
 		m.Status = status
-	} else if m.Method, m.Target = a, origin(b); !token(a) || m.Target == nil {
+	} else if m.Method, m.Target = first, originForm(second); !isToken(first) || m.Target == nil {
 		return 0, ErrMalformed
 	}
 	switch string(version) {
@@ -266,15 +269,15 @@
 	return 0, ErrMalformed
 }
 
-// origin is a target without scheme and host, where they are given; nil when it is no target.
-func origin(target []byte) []byte {
+// originForm returns the target without scheme and host if it has them, or nil if it is invalid.
+func originForm(target []byte) []byte {
 	const scheme = "http://"
 	if len(target) > len(scheme) && equalFold(target[:len(scheme)], scheme) {
-		at := bytes.IndexAny(target[len(scheme):], "/?")
-		if at < 0 {
+		pathStart := bytes.IndexAny(target[len(scheme):], "/?")
+		if pathStart < 0 {
 			return []byte("/")
 		}
-		if target = target[len(scheme)+at:]; target[0] == '?' {
+		if target = target[len(scheme)+pathStart:]; target[0] == '?' {
 			return append([]byte("/"), target...)
 		}
 	}
@@ -284,33 +287,34 @@
 	return target
 }
 
-// framing tells from the head where the body ends.
-func (p *Parser) framing(minor int) error {
-	m := p.msg
+// setFraming derives the framing of the body from the head and rejects heads that leave it ambiguous.
+func (p *Parser) setFraming(minor int) error {
+	m := p.message
 	m.HTTP10 = minor == 0
 	m.Close = m.HTTP10
 	lengths, codings, hosts := 0, 0, 0
 	for _, f := range m.Fields {
 		switch {
 		case equalFold(f.Name, "Content-Length"):
-			// A repeated length is refused even where both agree: two parsers could differ on it.
-			n, err := strconv.ParseUint(string(f.Value), 10, 62)
+			// A repeated Content-Length is rejected even if the values agree: another parser on the path
+			// could interpret it differently.
+			length, err := strconv.ParseUint(string(f.Value), 10, 62)
 			if lengths++; err != nil || lengths > 1 {
 				return ErrMalformed
 			}
-			p.body = Body{frame: counted, left: int64(min(n, MaxStreamedBody+1))}
-			p.body.Done = n == 0
+			p.body = Body{framing: fixedLength, remaining: int64(min(length, MaxStreamedBody+1))}
+			p.body.Done = length == 0
 		case equalFold(f.Name, "Transfer-Encoding"):
 			if codings++; codings > 1 || !equalFold(f.Value, "chunked") || minor == 0 {
 				return ErrMalformed
 			}
-			p.body = Body{frame: chunked}
+			p.body = Body{framing: chunked}
 		case equalFold(f.Name, "Host"):
 			hosts++
 		case equalFold(f.Name, "Connection"):
-			if listed(f.Value, "close") {
+			if listContains(f.Value, "close") {
 				m.Close = true
-			} else if minor == 0 && listed(f.Value, "keep-alive") {
+			} else if minor == 0 && listContains(f.Value, "keep-alive") {
 				m.Close = false
 			}
 		}
@@ -320,32 +324,33 @@
 	}
 	if p.Responses && (m.Status < 200 || m.Status == 204 || m.Status == 304) {
 		p.body = Body{Done: true}
-	} else if p.Responses && p.body.frame == noBody {
-		p.body.frame, m.Close = untilClose, true
+	} else if p.Responses && p.body.framing == noBody {
+		p.body.framing, m.Close = untilClose, true
 	}
-	if p.body.frame == counted && p.body.left > MaxStreamedBody {
+	if p.body.framing == fixedLength && p.body.remaining > MaxStreamedBody {
 		return ErrBodySize
 	}
-	p.large = p.body.frame == counted && p.body.left > MaxBody
+	p.large = p.body.framing == fixedLength && p.body.remaining > MaxBody
 	return nil
 }
 
+// equalFold reports whether b and s are equal without regard to case.
 func equalFold(b []byte, s string) bool {
 	return len(b) == len(s) && bytes.EqualFold(b, []byte(s))
 }
 
-// listed tells whether a comma-separated list holds the word.
-func listed(list []byte, word string) bool {
-	for part := range bytes.SplitSeq(list, []byte(",")) {
-		if equalFold(bytes.TrimSpace(part), word) {
+// listContains reports whether a comma-separated list contains the word, without regard to case.
+func listContains(list []byte, word string) bool {
+	for element := range bytes.SplitSeq(list, []byte(",")) {
+		if equalFold(bytes.TrimSpace(element), word) {
 			return true
 		}
 	}
 	return false
 }
 
-// token tells whether b may be a method or a field's name.
-func token(b []byte) bool {
+// isToken reports whether b is a valid method or field name.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
 			return false
@@ -354,8 +359,8 @@
 	return len(b) > 0
 }
 
-// text tells whether b holds no control character but tabs.
-func text(b []byte) bool {
+// isTextOnly reports whether b contains no control characters other than tabs.
+func isTextOnly(b []byte) bool {
 	for _, c := range b {
 		if !isText(c) {
 			return false
@@ -364,4 +369,5 @@
 	return true
 }
 
+// isText reports whether c is a tab or no control character.
 func isText(c byte) bool { return c >= ' ' && c != 0x7f || c == '\t' }
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// all feeds a stream in pieces of the given size and writes down what comes out.
-func all(stream []byte, size int, responses bool) string {
+// parseAll feeds a stream in pieces of the given size in bytes and returns a text of the messages, and of the
+// error if there is one.
+func parseAll(stream []byte, size int, responses bool) string {
 	var out strings.Builder
 	p := Parser{Responses: responses}
 	for len(stream) > 0 {
@@ -22,7 +23,7 @@
 				fmt.Fprintf(&out, "error %v", err)
 				return out.String()
 			}
-			if m == nil && p.Large() { // decode the rest as whoever passes it on does
+			if m == nil && p.Large() { // decode the rest as a streaming caller does
 				m, body, rest := p.Stream()
 				m.Body = append([]byte(nil), m.Body...)
 				for {
@@ -59,6 +60,7 @@
 	return out.String()
 }
 
+// describe appends one line that shows every part of the message.
 func describe(out *strings.Builder, m *Message) {
 	fmt.Fprintf(out, "%s %s %d %t %q", m.Method, m.Target, m.Status, m.Close, m.Body)
 	for _, f := range m.Fields {
@@ -68,15 +70,16 @@
 }
 
 const (
-	host = "HTTP/1.1\r\nHost: h\r\n"
-	one  = "Content-Length: 3\r\n"
+	host          = "HTTP/1.1\r\nHost: h\r\n"
+	contentLength = "Content-Length: 3\r\n"
 )
 
+// TestRequests covers valid and invalid requests, each fed in pieces of several sizes.
 func TestRequests(t *testing.T) {
 	chunks := "POST /api " + host + "Transfer-Encoding: chunked\r\n\r\n"
 	big := strings.Repeat("0123456789", 7000)
 	long := strings.Repeat("x", MaxHead)
-	tests := map[string]struct{ in, body, err string }{
+	tests := map[string]struct{ input, body, err string }{
 		"no body":        {"GET /api " + host + "\r\n", "", ""},
 		"counted":        {"POST /api " + host + "Content-Length: 3\r\n\r\nabc", "abc", ""},
 		"chunked":        {chunks + "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n", "abcde", ""},
@@ -87,7 +90,7 @@
 		"trailer, no end":    {chunks + "0\r\nT: u\rx", "", "malformed"},
 		"line feed in chunk": {chunks + "3\nabc", "", "malformed"},
 		"empty line first":   {"\r\nGET /api " + host + "\r\n", "", ""},
-		"repeated length":    {"POST / " + host + one + one + "\r\nabc", "", "malformed"},
+		"repeated length":    {"POST / " + host + contentLength + contentLength + "\r\nabc", "", "malformed"},
 		"signed length":      {"POST / " + host + "Content-Length: +3\r\n\r\nabc", "", "malformed"},
 		"both framings":      {chunks[:len(chunks)-2] + "Content-Length: 3\r\n\r\nabc", "", "malformed"},
 		"unknown coding":     {"POST / " + host + "Transfer-Encoding: gzip\r\n\r\n", "", "malformed"},
@@ -104,7 +107,7 @@
 	}
 	for name, tc := range tests {
 		for _, size := range []int{1, 7, 1 << 20} {
-			got := all([]byte(tc.in), size, false)
+			got := parseAll([]byte(tc.input), size, false)
 			if tc.err != "" && !strings.Contains(got, "error "+tc.err) {
 				t.Errorf("%s in pieces of %d: got %s, want %s", name, size, got, tc.err)
 			}
@@ -115,7 +118,8 @@
 	}
 }
 
-// TestEndlessFraming guards against a body that stays small while what frames it goes on.
+// TestEndlessFraming checks that a chunked body with little data and unlimited extensions or trailers fails
+// before it fills the buffer.
 func TestEndlessFraming(t *testing.T) {
 	for _, piece := range []string{"1;" + strings.Repeat("x", 4000) + "\r\na\r\n", "T: u\r\n"} {
 		p := Parser{Responses: true}
@@ -123,28 +127,29 @@
 		if piece[0] == 'T' {
 			p.Feed([]byte("0\r\n"))
 		}
-		fed, most := 0, 0
+		fed, maxBuffered := 0, 0
 		var err error
-		for ; err == nil && fed < 2*maxFraming; fed += len(piece) {
+		for ; err == nil && fed < 2*maxFramingBase; fed += len(piece) {
 			p.Feed([]byte(piece))
 			_, err = p.Next()
-			most = max(most, p.Buffered())
+			maxBuffered = max(maxBuffered, p.Buffered())
 		}
-		if err == nil || most > MaxHead+MaxBody {
-			t.Errorf("%.9q: error %v, %d bytes held", piece, err, most)
+		if err == nil || maxBuffered > MaxHead+MaxBody {
+			t.Errorf("%.9q: error %v, %d bytes buffered", piece, err, maxBuffered)
 		}
 	}
 }
 
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
-	if got := all([]byte("HTTP/1.1 200 OK\r\n\r\nabc"), 4, true); !strings.Contains(got, `200 true "abc"`) {
+// TestResponseEndsAtConnectionClose covers a response without a declared length.
+func TestResponseEndsAtConnectionClose(t *testing.T) {
+	if got := parseAll([]byte("HTTP/1.1 200 OK\r\n\r\nabc"), 4, true); !strings.Contains(got, `200 true "abc"`) {
 		t.Errorf("got %s", got)
 	}
 }
 
-// TestTakenMessageStays guards against a message that changes while it is still being written
-// elsewhere, because the next one came in on the same connection.
-func TestTakenMessageStays(t *testing.T) {
+// TestReturnedMessageIsImmutable checks that input received later on the same connection does not overwrite a
+// message that Next has returned and that may still be in use.
+func TestReturnedMessageIsImmutable(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST /api " + host + "Content-Length: 3\r\n\r\nabcGET /x"))
 	m, err := p.Next()
@@ -157,15 +162,17 @@
 	}
 }
 
-func TestContinueIsAskedOnce(t *testing.T) {
+// TestContinueRequestedOnce checks that WantsContinue returns true only once per request.
+func TestContinueRequestedOnce(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST /api " + host + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n"))
 	if _, err := p.Next(); err != nil || !p.WantsContinue() || p.WantsContinue() {
-		t.Errorf("want leave to be asked for once, error %v", err)
+		t.Errorf("WantsContinue did not return true exactly once, error %v", err)
 	}
 }
 
-func TestForwardDropsWhatConcernsOneConnection(t *testing.T) {
+// TestForwardRequestDropsHopByHopFields covers the fixed fields and those listed in a Connection field.
+func TestForwardRequestDropsHopByHopFields(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST /api?a=b " + host + "Connection: close, X-Own\r\nX-Own: 1\r\nKeep: me\r\n" +
 		"Wait: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
@@ -179,8 +186,8 @@
 	}
 }
 
-// FuzzParser checks that the pieces in which a stream comes change nothing, and that what is
-// forwarded reads back as it was.
+// FuzzParser checks that the result does not depend on how the stream is split, and that a forwarded request
+// parses back to the same body.
 func FuzzParser(f *testing.F) {
 	chunked := "POST /api " + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	f.Add([]byte(chunked+"GET / "+host+"\r\n"), 5, false)
@@ -188,17 +195,17 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\ntill the end"), 3, true)
 	f.Add([]byte("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"), 9, false)
 	f.Fuzz(func(t *testing.T, stream []byte, size int, responses bool) {
-		whole := all(stream, len(stream)+1, responses)
-		if pieces := all(stream, max(1, size), responses); pieces != whole {
+		whole := parseAll(stream, len(stream)+1, responses)
+		if pieces := parseAll(stream, max(1, size), responses); pieces != whole {
 			t.Fatalf("whole: %s\nin pieces: %s", whole, pieces)
 		}
 		p := Parser{}
 		p.Feed(append([]byte(nil), stream...))
 		if m, err := p.Next(); err == nil && m != nil {
-			var q Parser
-			q.Feed(bytes.Join(m.ForwardRequest("X", "1"), nil))
-			again, err := q.Next()
-			// The new fields may push a head that is nearly full over the limit.
+			var reparser Parser
+			reparser.Feed(bytes.Join(m.ForwardRequest("X", "1"), nil))
+			again, err := reparser.Next()
+			// The added fields may push a head that is close to MaxHead over the limit.
 			if err == nil && !bytes.Equal(again.Body, m.Body) || err != nil && !errors.Is(err, ErrHeadSize) {
 				t.Fatalf("%q reads back as %v, %v", stream, again, err)
 			}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -5,121 +5,129 @@
 	"strconv"
 )
 
-// hopByHop are the fields that concern one connection only, or that are written anew.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
+// hopByHopFields are the fields that apply to one connection only, and those that are generated for each
+// message.
+var hopByHopFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
 var (
-	space  = []byte(" ")
-	colon  = []byte(": ")
-	crlf   = []byte("\r\n")
-	onward = []byte(" HTTP/1.1\r\n")
+	space          = []byte(" ")
+	colonSpace     = []byte(": ")
+	crlf           = []byte("\r\n")
+	requestLineEnd = []byte(" HTTP/1.1\r\n")
 )
 
-// passOn adds the fields that go on to the next machine, less those named in drop.
-func (m *Message) passOn(out [][]byte, drop string) [][]byte {
-	var named []byte
+// appendFields appends the end-to-end fields to out, except the one named drop.
+func (m *Message) appendFields(out [][]byte, drop string) [][]byte {
+	var connectionFields []byte // the names listed in Connection fields, which are hop-by-hop too
 	for _, f := range m.Fields {
 		if equalFold(f.Name, "Connection") {
-			named = append(append(named, f.Value...), ',')
+			connectionFields = append(append(connectionFields, f.Value...), ',')
 		}
 	}
-next:
+nextField:
 	for _, f := range m.Fields {
-		for _, name := range hopByHop {
+		for _, name := range hopByHopFields {
 			if equalFold(f.Name, name) {
-				continue next
+				continue nextField
 			}
 		}
-		if !equalFold(f.Name, drop) && !listed(named, string(f.Name)) {
-			out = append(out, f.Name, colon, f.Value, crlf)
+		if !equalFold(f.Name, drop) && !listContains(connectionFields, string(f.Name)) {
+			out = append(out, f.Name, colonSpace, f.Value, crlf)
 		}
 	}
 	return out
 }
 
-// ForwardRequest returns the request as it goes on, for a gathered write: the fields that pass on
-// unchanged, then the field that is set anew.
+// ForwardRequest returns the request as it is sent to a server, as buffers for a vectored write. The named
+// field is replaced by one with the given value; hop-by-hop fields are dropped.
 func (m *Message) ForwardRequest(name, value string) [][]byte {
-	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, onward)
-	out = m.passOn(out, name)
-	tail := name + ": " + value + "\r\n"
+	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, requestLineEnd)
+	out = m.appendFields(out, name)
+	fields := name + ": " + value + "\r\n"
 	if len(m.Body) > 0 || !bytes.Equal(m.Method, []byte("GET")) {
-		tail += "Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n"
+		fields += "Content-Length: " + strconv.Itoa(len(m.Body)) + "\r\n"
 	}
-	return append(out, []byte(tail+"\r\n"), m.Body)
+	return append(out, []byte(fields+"\r\n"), m.Body)
 }
 
-// ForwardRequestHead is the head of a request whose body follows as it comes; its length is -1 where it is not
-// known.
+// ForwardRequestHead returns the head of a request whose body is streamed. The length of the body is in
+// bytes; with -1 (unknown) the body is sent in chunks.
 func (m *Message) ForwardRequestHead(name, value string, length int64) [][]byte {
-	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, onward)
-	return append(m.passOn(out, name), []byte(name+": "+value+"\r\n"+framed(length)+"\r\n"))
+	out := append(make([][]byte, 0, 4*len(m.Fields)+8), m.Method, space, m.Target, requestLineEnd)
+	return append(m.appendFields(out, name), []byte(name+": "+value+"\r\n"+framingField(length)+"\r\n"))
 }
 
-// ForwardResponseHead is the head of a response whose body follows as it comes. Where its length is not known, it goes
-// in chunks, or, to who knows none, until the end of the connection.
-func (m *Message) ForwardResponseHead(drop string, length int64, old, last bool) [][]byte {
+// ForwardResponseHead returns the head of a response whose body is streamed, without the field named drop.
+// The length of the body is in bytes; with -1 (unknown) the body is sent in chunks, or to an HTTP/1.0 client
+// until the connection closes. With last set the connection closes after the response.
+func (m *Message) ForwardResponseHead(drop string, length int64, http10, last bool) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+4), statusLine(m.Status))
-	tail := framed(length)
-	if old && length < 0 {
-		tail = ""
+	fields := framingField(length)
+	if http10 && length < 0 {
+		fields = ""
 	}
 	if last {
-		tail += "Connection: close\r\n"
+		fields += "Connection: close\r\n"
 	}
-	return append(m.passOn(out, drop), []byte(tail+"\r\n"))
+	return append(m.appendFields(out, drop), []byte(fields+"\r\n"))
 }
 
-func framed(length int64) string {
+// framingField returns the header line that declares the framing of a streamed body; length is -1 if unknown.
+func framingField(length int64) string {
 	if length < 0 {
 		return "Transfer-Encoding: chunked\r\n"
 	}
 	return "Content-Length: " + strconv.FormatInt(length, 10) + "\r\n"
 }
 
-// ChunkHead begins a chunk, ChunkEnd ends it, LastChunk ends the body.
-func ChunkHead(n int) []byte { return append(strconv.AppendInt(nil, int64(n), 16), crlf...) }
+// ChunkHead returns the line that precedes a chunk of the given number of bytes.
+func ChunkHead(length int) []byte { return append(strconv.AppendInt(nil, int64(length), 16), crlf...) }
 
-// Parts of a chunked body.
+// ChunkEnd follows the data of each chunk; LastChunk ends a chunked body.
 var (
 	ChunkEnd  = crlf
 	LastChunk = []byte("0\r\n\r\n")
 )
 
-// ForwardResponse returns a response as it goes back, less the field named in drop.
+// ForwardResponse returns the response as it is sent to a client, without the field named drop and the
+// hop-by-hop fields. With last set the connection closes after the response.
 func (m *Message) ForwardResponse(drop string, last bool) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+4), statusLine(m.Status))
-	out = m.passOn(out, drop)
-	return append(out, []byte(tail(len(m.Body), last)), m.Body)
+	out = m.appendFields(out, drop)
+	return append(out, []byte(headEnd(len(m.Body), last)), m.Body)
 }
 
-// Answer returns a response of the proxy's own; fields are whole lines.
+// Answer returns a response that the proxy generates itself. Each of fields is a complete header line with
+// its line end. With last set the connection closes after the response.
 func Answer(status int, fields, body string, last bool) [][]byte {
-	return [][]byte{statusLine(status), []byte(fields + tail(len(body), last) + body)}
+	return [][]byte{statusLine(status), []byte(fields + headEnd(len(body), last) + body)}
 }
 
-// Continue is the leave to send a body.
+// Continue returns a 100 (Continue) response, on which the client sends the body.
 func Continue() [][]byte { return [][]byte{[]byte("HTTP/1.1 100 Continue\r\n\r\n")} }
 
-// GetRequest returns a request without a body.
+// GetRequest returns a GET request.
 func GetRequest(target, host string) [][]byte {
 	return [][]byte{[]byte("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")}
 }
 
-// reasons are the phrases of the answers that the proxy words itself, and of a served one.
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+// reasonPhrases holds the reason phrases of 200 and of the responses that the proxy generates itself. Other
+// statuses are forwarded with an empty phrase.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
+// statusLine returns the status line with its line end.
 func statusLine(status int) []byte {
-	return []byte("HTTP/1.1 " + strconv.Itoa(status) + " " + reasons[status] + "\r\n")
+	return []byte("HTTP/1.1 " + strconv.Itoa(status) + " " + reasonPhrases[status] + "\r\n")
 }
 
-func tail(length int, last bool) string {
-	s := "Content-Length: " + strconv.Itoa(length) + "\r\n"
+// headEnd returns the end of a head from the Content-Length field on, its empty line included.
+func headEnd(length int, last bool) string {
+	fields := "Content-Length: " + strconv.Itoa(length) + "\r\n"
 	if last {
-		s += "Connection: close\r\n"
+		fields += "Connection: close\r\n"
 	}
-	return s + "\r\n"
+	return fields + "\r\n"
 }
