--- a/internal/upgrade/instant.go
+++ b/internal/upgrade/instant.go
@@ -8,31 +8,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a reading of the machine's clocks that two processes on it can compare.
+// Instant is a reading of the host's clocks. Two processes on one host can compare their readings.
 type Instant struct {
 	Wall      time.Time
-	Monotonic time.Duration // since the machine started; 0: not known, as in what earlier programs wrote
-	Boot      string        // which start of the machine; empty: not known
+	Monotonic time.Duration // time since boot; 0 if unknown, as in files of earlier program versions
+	Boot      string        // identifier of the boot; empty if unknown
 }
 
-// bootFile names the machine's start, as the kernel tells it.
+// bootFile is the kernel's file with the identifier of the current boot.
 const bootFile = "/proc/sys/kernel/random/boot_id"
 
 // Now reads the clocks.
 func Now() Instant {
-	m := Instant{Wall: time.Now()}
-	var ts unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err == nil {
-		m.Monotonic = time.Duration(ts.Nano())
+	now := Instant{Wall: time.Now()}
+	var reading unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &reading); err == nil {
+		now.Monotonic = time.Duration(reading.Nano())
 	}
 	if raw, err := os.ReadFile(bootFile); err == nil {
-		m.Boot = strings.TrimSpace(string(raw))
+		now.Boot = strings.TrimSpace(string(raw))
 	}
-	return m
+	return now
 }
 
-// Since is the time from an earlier moment to this one: by the monotonic clock, which no step moves, where
-// both have it and the machine has not started anew; else by the wall clock.
+// Since returns the time from an earlier instant to this one. It uses the monotonic clock, which clock
+// steps do not affect, if both instants have it and belong to the same boot, and the wall clock
+// otherwise.
 func (m Instant) Since(earlier Instant) time.Duration {
 	if m.Monotonic > 0 && earlier.Monotonic > 0 && m.Boot == earlier.Boot {
 		return m.Monotonic - earlier.Monotonic
--- a/internal/upgrade/socket.go
+++ b/internal/upgrade/socket.go
@@ -1,6 +1,6 @@
-// Package upgrade is what two processes of one proxy share while one takes over from the other: the
-// listening socket that the platform passes to both, and a file with what the new one should know. It
-// decides nothing.
+// Package upgrade holds what two processes of one proxy share while one replaces the other: the
+// listening socket that the platform passes to both, and the handover file with the state for the new
+// process. It makes no decisions about when to take over.
 package upgrade
 
 import (
@@ -11,31 +11,35 @@
 	"syscall"
 )
 
-// SocketVariable names the descriptor of the passed listening socket.
+// SocketVariable is the environment variable that holds the file descriptor of the inherited listening
+// socket.
 const SocketVariable = "NODE_PASSED_SOCKET"
 
-// Listener takes connections from a passed socket. It never ends the socket itself, which others listen on.
+// Listener accepts connections from an inherited socket. It never closes the socket, because other
+// processes listen on it.
 type Listener struct {
 	fd   int
 	addr net.Addr
 }
 
-// InheritedListener returns the listening socket whose descriptor is given. A fault names Variable.
+// InheritedListener returns a Listener for the socket with the given file descriptor, a decimal number.
+// Errors name SocketVariable.
 func InheritedListener(descriptor string) (*Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 0 {
-		return nil, fmt.Errorf("%s: %q is no descriptor", SocketVariable, descriptor)
+		return nil, fmt.Errorf("%s: %q is not a file descriptor", SocketVariable, descriptor)
 	}
-	listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d is no socket here: %w", SocketVariable, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d is not an open socket: %w", SocketVariable, fd, err)
 	}
-	sa, err := syscall.Getsockname(fd)
-	addr := address(sa)
-	if listens == 0 || err != nil || addr == nil {
+	sockaddr, err := syscall.Getsockname(fd)
+	addr := tcpAddr(sockaddr)
+	if listening == 0 || err != nil || addr == nil {
 		return nil, fmt.Errorf("%s: descriptor %d does not listen for TCP connections", SocketVariable, fd)
 	}
-	// All processes share this flag; none may wait for a connection that another one takes.
+	// Non-blocking mode belongs to the shared socket. In blocking mode a process would block in accept when
+	// another one has taken the connection.
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d: %w", SocketVariable, fd, err)
 	}
@@ -43,28 +47,30 @@
 	return &Listener{fd, addr}, nil
 }
 
-func address(sa syscall.Sockaddr) net.Addr {
-	switch sa := sa.(type) {
+// tcpAddr converts an IPv4 or IPv6 socket address; it returns nil for any other.
+func tcpAddr(sockaddr syscall.Sockaddr) net.Addr {
+	switch sockaddr := sockaddr.(type) {
 	case *syscall.SockaddrInet4:
-		return net.TCPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port)))
+		return net.TCPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom4(sockaddr.Addr), uint16(sockaddr.Port)))
 	case *syscall.SockaddrInet6:
-		return net.TCPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port)))
+		return net.TCPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom16(sockaddr.Addr), uint16(sockaddr.Port)))
 	}
 	return nil
 }
 
-// Fd is the descriptor.
+// Fd returns the file descriptor.
 func (l *Listener) Fd() int { return l.fd }
 
-// Addr is the address that the socket listens on.
+// Addr returns the address that the socket listens on.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Close leaves the socket to those that it was passed to as well.
+// Close does nothing: the socket stays open for the other processes that hold it.
 func (l *Listener) Close() error { return nil }
 
-// Accept takes a connection; there may be none, when another process was quicker.
+// Accept accepts a connection. It returns nil without an error if there is none, for example because
+// another process has accepted it.
 func (l *Listener) Accept() (net.Conn, error) {
-	fd, sa, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	fd, sockaddr, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	switch err {
 	case nil:
 	case syscall.EAGAIN, syscall.ECONNABORTED, syscall.EINTR:
@@ -73,12 +79,12 @@
 		return nil, err
 	}
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
-	return &conn{fd: fd, local: l.addr, remote: address(sa)}, nil
+	return &conn{fd: fd, local: l.addr, remote: tcpAddr(sockaddr)}, nil
 }
 
-// conn is an accepted connection until the library takes its descriptor over.
+// conn is an accepted connection. netpoll takes over its descriptor.
 type conn struct {
-	net.Conn      // never called
+	net.Conn      // nil; present only to satisfy the interface
 	fd            int
 	local, remote net.Addr
 }
