--- a/internal/logburst/logburst.go
+++ b/internal/logburst/logburst.go
@@ -1,19 +1,19 @@
-// Package logburst keeps a fault that comes a thousand times a second from filling the log: one line a
-// burst, and then how many more there were.
+// Package logburst limits the rate of a log line, so that an error that occurs a thousand times a
+// second does not fill the log. The next line that is logged reports how many were suppressed.
 package logburst
 
 import "time"
 
-// Limiter lets one line through in each Every. Its zero value lets all through. It is not safe for use from
-// several goroutines.
+// Limiter allows one line per interval Every. The zero value allows all lines. A Limiter is not safe for
+// concurrent use.
 type Limiter struct {
-	Every      time.Duration
-	next       time.Duration
-	suppressed int
+	Every      time.Duration // minimum time between two lines
+	next       time.Duration // time from which the next line is allowed
+	suppressed int           // lines suppressed since the last one that was allowed
 }
 
-// Allow tells whether a line may be logged at the given time, and how many were not since the last one that
-// was.
+// Allow reports whether a line may be logged at time now and, if so, how many lines were suppressed
+// since the last one that was allowed.
 func (l *Limiter) Allow(now time.Duration) (suppressed int, ok bool) {
 	if now < l.next {
 		l.suppressed++
