--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is where operators call: a line protocol on a listener of its own. A connection brings one
-// line and gets one answer, from what the reducer has published last; it never waits for the reducer.
+// Package admin serves the operators' line protocol on a listener of its own. A connection sends one
+// line, the command, and gets one answer. HEALTH and DUMP are answered from the metrics that the
+// reducer published last, so they never wait for the reducer.
 package admin
 
 import (
@@ -23,67 +24,70 @@
 	"lilacglade/internal/transient"
 )
 
-// What one caller, and all together, may take.
+// Limits of one connection and of all together.
 const (
-	maxLine  = 128              // bytes of a call, its end included
-	maxWork  = 64 << 10         // of one that begins with WORK
-	maxConns = 24               // beyond, the connection that has stood longest without a whole call makes room
-	stayFor  = 6 * time.Second  // a connection that has made no whole call by then is told so and closed
-	takeFor  = 10 * time.Second // an answer that is not read is given up
+	maxLine            = 128              // bytes of a command, its line end included
+	maxWork            = 64 << 10         // bytes of a command that begins with WORK
+	maxConns           = 24               // a further connection closes the oldest one
+	connectionLifetime = 6 * time.Second  // from the accept; the connection is closed after it
+	writeTimeout       = 10 * time.Second // an answer that the client does not read is dropped after it
 )
 
-// Server answers operators' calls.
+// Server answers operators' commands.
 type Server struct {
-	// Work answers what follows the word WORK in a call; nil: there is no such call. It may wait for other
-	// proxies, so it is owed within some seconds only. It is set before Listen.
-	Work    func(call string) []byte
-	figures atomic.Pointer[reducer.Metrics]
+	// Work answers a WORK command; it gets what follows the word WORK. If it is nil the command is unknown. It
+	// may wait for other proxies, so an answer can take some seconds. It must be set before Listen.
+	Work    func(command string) []byte
+	metrics atomic.Pointer[reducer.Metrics]
 
 	mu    sync.Mutex
-	conns []*guest // oldest first
+	conns []*clientConn // oldest first
 }
 
-// guest is a connection that has made no whole call yet.
-type guest struct {
+// clientConn is a connection of an operator.
+type clientConn struct {
 	conn netpoll.Connection
 	fd   int
-	line []byte // what has come of the call
+	line []byte // the part of the command received so far
 	done bool   // it was answered
 }
 
-// Publish has the figures shown from now on. They must not change any more.
-func (d *Server) Publish(f *reducer.Metrics) { d.figures.Store(f) }
+// Publish sets the metrics that answers are made from. The caller must not modify them afterwards.
+func (s *Server) Publish(metrics *reducer.Metrics) { s.metrics.Store(metrics) }
 
-type guestKey struct{}
+// clientConnKey is the context key of a connection's clientConn.
+type clientConnKey struct{}
 
-// Listen opens the door at an address and answers until the process ends.
-func (d *Server) Listen(address string) error {
+// Listen listens on the address and answers commands until the process ends.
+func (s *Server) Listen(address string) error {
 	var ln netpoll.Listener
-	if err := transient.Retry(listenFor, transient.Opening, func() (err error) {
+	if err := transient.Retry(listenRetryTimeout, transient.Opening, func() (err error) {
 		ln, err = netpoll.CreateListener("tcp", address)
 		return err
 	}); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	loop, err := netpoll.NewEventLoop(d.heard, netpoll.WithOnPrepare(d.opened))
+	loop, err := netpoll.NewEventLoop(s.handleInput, netpoll.WithOnPrepare(s.addConn))
 	if err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	go func() { _ = loop.Serve(quiet{ln}) }() // it ends with the process
+	go func() { _ = loop.Serve(retryingListener{ln}) }() // runs until the process ends
 	return nil
 }
 
-// quiet hides from the poller what went wrong with one connection, or for the moment: the door stays open,
-// and the poller, which serves everybody else, too, neither spins nor rests for long.
-type quiet struct{ netpoll.Listener }
+// retryingListener hides accept errors from the poller, other than that of a closed listener, so that
+// it keeps accepting. The pause after an error is short because the poller also serves all other
+// connections; without it the poller would spin.
+type retryingListener struct{ netpoll.Listener }
 
-// listenFor is how long an address that can't be listened on for the moment is tried again.
-const listenFor = 3 * time.Second
+// listenRetryTimeout is how long listening is retried after a transient error.
+const listenRetryTimeout = 3 * time.Second
 
-// acceptPause is waited after an accept that failed, before the poller tries again.
+// acceptPause is the pause after a failed accept, before the poller tries again.
 const acceptPause = time.Millisecond
 
-func (l quiet) Accept() (net.Conn, error) {
+// Accept accepts a connection. After a failure it returns nil without an error.
+func (l retryingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		time.Sleep(acceptPause)
@@ -92,170 +96,177 @@
 	return conn, err
 }
 
-// opened takes in a connection. Guards against callers who hold connections and say nothing: they can't
-// keep others out.
-func (d *Server) opened(conn netpoll.Connection) context.Context {
-	g := &guest{conn: conn, fd: -1}
-	if c, ok := conn.(netpoll.Conn); ok {
-		g.fd = c.Fd()
+// addConn registers an accepted connection. Beyond maxConns it closes the oldest one, because otherwise
+// clients that hold idle connections would lock others out.
+func (s *Server) addConn(conn netpoll.Connection) context.Context {
+	client := &clientConn{conn: conn, fd: -1}
+	if withFd, ok := conn.(netpoll.Conn); ok {
+		client.fd = withFd.Fd()
 	}
-	_ = conn.AddCloseCallback(func(netpoll.Connection) error { d.left(g); return nil })
-	d.mu.Lock()
-	d.conns = append(d.conns, g)
-	var oldest *guest
-	if len(d.conns) > maxConns {
-		oldest = d.conns[0]
-		d.conns = d.conns[1:]
+	_ = conn.AddCloseCallback(func(netpoll.Connection) error { s.removeConn(client); return nil })
+	s.mu.Lock()
+	s.conns = append(s.conns, client)
+	var oldest *clientConn
+	if len(s.conns) > maxConns {
+		oldest = s.conns[0]
+		s.conns = s.conns[1:]
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if oldest != nil {
 		_ = oldest.conn.Close()
 	}
-	time.AfterFunc(stayFor, func() { _ = conn.Close() })
-	return context.WithValue(context.Background(), guestKey{}, g)
+	time.AfterFunc(connectionLifetime, func() { _ = conn.Close() })
+	return context.WithValue(context.Background(), clientConnKey{}, client)
 }
 
-func (d *Server) left(g *guest) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i, o := range d.conns {
-		if o == g {
-			d.conns = append(d.conns[:i:i], d.conns[i+1:]...)
+// removeConn removes a closed connection from the list.
+func (s *Server) removeConn(client *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, other := range s.conns {
+		if other == client {
+			s.conns = append(s.conns[:i:i], s.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// heard takes what has come on a connection. It runs for one connection at a time only.
-func (d *Server) heard(ctx context.Context, conn netpoll.Connection) error {
-	g, _ := ctx.Value(guestKey{}).(*guest)
-	r := conn.Reader()
-	n := r.Len()
-	most := maxLine
-	if d.Work != nil {
-		most = maxWork
+// handleInput reads input and answers a complete command. netpoll never runs it concurrently for the same
+// connection.
+func (s *Server) handleInput(ctx context.Context, conn netpoll.Connection) error {
+	client, _ := ctx.Value(clientConnKey{}).(*clientConn)
+	reader := conn.Reader()
+	available := reader.Len()
+	maxLength := maxLine
+	if s.Work != nil {
+		maxLength = maxWork
 	}
-	b, err := r.Next(min(n, most+1))
-	if err == nil && !g.done {
-		g.line = append(g.line, b...)
+	input, err := reader.Next(min(available, maxLength+1))
+	if err == nil && !client.done {
+		client.line = append(client.line, input...)
 	}
-	if n > most+1 {
-		_ = r.Skip(n - most - 1)
+	if available > maxLength+1 {
+		_ = reader.Skip(available - maxLength - 1)
 	}
-	_ = r.Release()
-	if g.done {
+	_ = reader.Release()
+	if client.done {
 		return nil
 	}
-	line, _, whole := bytes.Cut(g.line, []byte("\n"))
+	line, _, complete := bytes.Cut(client.line, []byte("\n"))
 	work, isWork := strings.CutPrefix(string(line), "WORK ")
 	switch {
-	case whole && isWork && d.Work != nil:
-		d.answer(g, d.Work(strings.TrimSuffix(work, "\r")))
-	case whole && len(line) < maxLine:
-		d.answer(g, Answer(string(bytes.TrimSuffix(line, []byte("\r"))), d.figures.Load()))
-	case len(g.line) > most || whole || len(g.line) > maxLine && !isWork:
-		d.answer(g, []byte("-ERR the call is too long\n"))
+	case complete && isWork && s.Work != nil:
+		s.answer(client, s.Work(strings.TrimSuffix(work, "\r")))
+	case complete && len(line) < maxLine:
+		s.answer(client, Answer(string(bytes.TrimSuffix(line, []byte("\r"))), s.metrics.Load()))
+	case len(client.line) > maxLength || complete || len(client.line) > maxLine && !isWork:
+		s.answer(client, []byte("-ERR the call is too long\n"))
 	}
 	return nil
 }
 
-// answer writes an answer and ends the connection. It goes past the library, which takes a caller that has
-// ended its sending for one that has left; while this runs the descriptor stays open.
-func (d *Server) answer(g *guest, text []byte) {
-	g.done, g.line = true, nil
-	for by := time.Now().Add(takeFor); len(text) > 0; {
-		n, err := syscall.Write(g.fd, text)
+// answer writes an answer and closes the sending side. It writes to the descriptor directly, because
+// netpoll treats a client that has shut down its sending side as disconnected. The descriptor stays
+// open while answer runs.
+func (s *Server) answer(client *clientConn, text []byte) {
+	client.done, client.line = true, nil
+	for deadline := time.Now().Add(writeTimeout); len(text) > 0; {
+		n, err := syscall.Write(client.fd, text)
 		if n > 0 {
 			text = text[n:]
 		}
-		if err == syscall.EAGAIN && time.Now().Before(by) {
-			time.Sleep(10 * time.Millisecond) // its buffer is full: it doesn't read
+		if err == syscall.EAGAIN && time.Now().Before(deadline) {
+			time.Sleep(10 * time.Millisecond) // the send buffer is full: the client is not reading
 		} else if err != nil && err != syscall.EINTR {
 			break
 		}
 	}
-	// Guards against a reset that overtakes the answer: the caller closes, or the time for its stay ends.
-	_ = syscall.Shutdown(g.fd, syscall.SHUT_WR)
+	// Only the sending side is shut down: a full close could send a reset that overtakes the answer.
+	// The client closes the connection, or connectionLifetime ends.
+	_ = syscall.Shutdown(client.fd, syscall.SHUT_WR)
 }
 
-// Answer words the answer to a call.
-func Answer(call string, f *reducer.Metrics) []byte {
+// Answer returns the answer to a command other than WORK. The metrics are nil until the first Publish.
+func Answer(command string, metrics *reducer.Metrics) []byte {
 	switch {
-	case call != "HEALTH" && call != "DUMP":
+	case command != "HEALTH" && command != "DUMP":
 		return []byte("-ERR unknown call; known are HEALTH and DUMP\n")
-	case f == nil:
+	case metrics == nil:
 		return []byte("-ERR starting\n")
-	case call == "DUMP":
-		return append(append([]byte("+OK\n"), Dump(f)...), ".\n"...)
-	case !f.Ready:
+	case command == "DUMP":
+		return append(append([]byte("+OK\n"), Dump(metrics)...), ".\n"...)
+	case !metrics.Ready:
 		return []byte("-ERR this process takes no requests\n")
 	}
 	return []byte("+OK serving\n")
 }
 
-// prefix begins the name of every figure.
-const prefix = "node_"
+// metricPrefix begins the name of every metric.
+const metricPrefix = "node_"
 
-// Dump words the figures, a line each.
-func Dump(f *reducer.Metrics) []byte {
+// Dump returns the metrics in text form, one per line.
+func Dump(metrics *reducer.Metrics) []byte {
 	var out []byte
-	line := func(name string, n uint64) {
-		out = append(out, prefix...)
+	appendLine := func(name string, value uint64) {
+		out = append(out, metricPrefix...)
 		out = append(out, name...)
 		out = append(out, ' ')
-		out = append(strconv.AppendUint(out, n, 10), '\n')
+		out = append(strconv.AppendUint(out, value, 10), '\n')
 	}
-	for _, h := range f.Handled {
-		for _, o := range []struct {
+	for _, handled := range metrics.Handled {
+		for _, count := range []struct {
 			outcome string
-			n       uint64
-		}{{"passed", h.Passed}, {"dropped", h.Dropped}, {"bad_gateway", h.BadGateway}} {
-			line("handled{category="+strconv.Quote(h.Class)+",outcome="+strconv.Quote(o.outcome)+"}", o.n)
+			value   uint64
+		}{{"passed", handled.Passed}, {"dropped", handled.Dropped}, {"bad_gateway", handled.BadGateway}} {
+			appendLine("handled{category="+strconv.Quote(handled.Class)+
+				",outcome="+strconv.Quote(count.outcome)+"}", count.value)
 		}
 	}
-	line("in_progress", uint64(max(0, f.InProgress)))
-	line("upstream_tries", f.RequestsWritten)
-	line("known_album_servers", uint64(f.KnownServers))
-	line("skipped_album_servers", uint64(f.SkippedServers))
-	line("loads", f.Loads)
-	line("load_errors", f.LoadErrors)
-	for result, n := range f.Attempts {
-		line("attempts{result="+strconv.Quote(lg.Result(result).String())+"}", n)
+	appendLine("in_progress", uint64(max(0, metrics.InProgress)))
+	appendLine("upstream_tries", metrics.RequestsWritten)
+	appendLine("known_album_servers", uint64(metrics.KnownServers))
+	appendLine("skipped_album_servers", uint64(metrics.SkippedServers))
+	appendLine("loads", metrics.Loads)
+	appendLine("load_errors", metrics.LoadErrors)
+	for result, count := range metrics.Attempts {
+		appendLine("attempts{result="+strconv.Quote(lg.Result(result).String())+"}", count)
 	}
-	for cause, n := range f.Closes {
-		line("client_closes{cause="+strconv.Quote(reducer.CloseCause(cause).String())+"}", n)
+	for cause, count := range metrics.Closes {
+		appendLine("client_closes{cause="+strconv.Quote(reducer.CloseCause(cause).String())+"}", count)
 	}
-	for rule, n := range f.Violations {
+	for rule, count := range metrics.Violations {
 		if rule := sendguard.Rule(rule); rule != sendguard.None {
-			line("violations{rule="+strconv.Quote(rule.String())+"}", n)
+			appendLine("violations{rule="+strconv.Quote(rule.String())+"}", count)
 		}
 	}
-	line("list_heard", asNumber(f.List.Received))
-	line("list_unheard_ms", millis(f.List.SinceAnswer))
-	line("list_longest_pause_ms", millis(f.List.LongestPause))
-	line("list_calls_failed_in_a_row", uint64(max(0, f.List.FailedCalls)))
-	line("list_outdated_attempts", f.List.OutdatedAttempts)
-	line("list_expired", f.List.LeaseExpirations)
-	line("list_withheld_attempts", f.List.WithheldAttempts)
-	line("discovery_calls{outcome=\"answered\"}", f.Sockets.CallsAnswered)
-	line("discovery_calls{outcome=\"failed\"}", f.Sockets.CallsFailed)
-	line("answers_unwritten", f.Sockets.UnwrittenAnswers)
-	line("clock_steps", f.Sockets.ClockSteps)
-	line("reducer_slow_events", f.Sockets.SlowEvents)
-	line("reducer_longest_event_us", micros(f.Sockets.LongestEvent))
-	line("reducer_longest_queued_us", micros(f.Sockets.LongestQueued))
-	line("reducer_longest_list_us", micros(f.Sockets.LongestListUpdate))
+	appendLine("list_heard", boolValue(metrics.List.Received))
+	appendLine("list_unheard_ms", millis(metrics.List.SinceAnswer))
+	appendLine("list_longest_pause_ms", millis(metrics.List.LongestPause))
+	appendLine("list_calls_failed_in_a_row", uint64(max(0, metrics.List.FailedCalls)))
+	appendLine("list_outdated_attempts", metrics.List.OutdatedAttempts)
+	appendLine("list_expired", metrics.List.LeaseExpirations)
+	appendLine("list_withheld_attempts", metrics.List.WithheldAttempts)
+	appendLine("discovery_calls{outcome=\"answered\"}", metrics.Sockets.CallsAnswered)
+	appendLine("discovery_calls{outcome=\"failed\"}", metrics.Sockets.CallsFailed)
+	appendLine("answers_unwritten", metrics.Sockets.UnwrittenAnswers)
+	appendLine("clock_steps", metrics.Sockets.ClockSteps)
+	appendLine("reducer_slow_events", metrics.Sockets.SlowEvents)
+	appendLine("reducer_longest_event_us", micros(metrics.Sockets.LongestEvent))
+	appendLine("reducer_longest_queued_us", micros(metrics.Sockets.LongestQueued))
+	appendLine("reducer_longest_list_us", micros(metrics.Sockets.LongestListUpdate))
 	return out
 }
 
-func asNumber(b bool) uint64 {
+// boolValue returns 1 for true and 0 for false.
+func boolValue(b bool) uint64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// millis and micros are spans as figures have them.
+// millis converts a duration to whole milliseconds; a negative one becomes 0.
 func millis(d time.Duration) uint64 { return uint64(max(0, d).Milliseconds()) }
 
+// micros converts a duration to whole microseconds; a negative one becomes 0.
 func micros(d time.Duration) uint64 { return uint64(max(0, d).Microseconds()) }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -9,10 +9,11 @@
 	"lilacglade/internal/sendguard"
 )
 
-// TestWireNames holds the names and forms that operators' tools read.
+// TestWireNames checks the names and formats that operators' tools read.
 func TestWireNames(t *testing.T) {
-	f := &reducer.Metrics{Ready: true, InProgress: 14, RequestsWritten: 5, KnownServers: 12, SkippedServers: 2,
-		Loads: 3, LoadErrors: 1, Attempts: [9]uint64{811, 1}, Closes: [6]uint64{9, 8, 7, 6, 5, 4},
+	metrics := &reducer.Metrics{Ready: true, InProgress: 14, RequestsWritten: 5, KnownServers: 12,
+		SkippedServers: 2, Loads: 3, LoadErrors: 1, Attempts: [9]uint64{811, 1},
+		Closes: [6]uint64{9, 8, 7, 6, 5, 4},
 		Sockets: reducer.SocketMetrics{CallsAnswered: 31, CallsFailed: 2, UnwrittenAnswers: 1, ClockSteps: 3,
 			SlowEvents: 4, LongestEvent: 72 * time.Millisecond, LongestQueued: 1500,
 			LongestListUpdate: 71 * time.Millisecond},
@@ -70,23 +71,25 @@
 node_reducer_longest_list_us 71000
 .
 `
-	if got := string(Answer("DUMP", f)); got != want {
+	if got := string(Answer("DUMP", metrics)); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 }
 
+// TestAnswers checks the status of each answer, for known and unknown commands.
 func TestAnswers(t *testing.T) {
-	ready, not := &reducer.Metrics{Ready: true}, &reducer.Metrics{}
+	ready, notReady := &reducer.Metrics{Ready: true}, &reducer.Metrics{}
 	for _, tc := range []struct {
-		call string
-		f    *reducer.Metrics
-		want string
+		command string
+		metrics *reducer.Metrics
+		want    string
 	}{
-		{"HEALTH", ready, "+OK"}, {"HEALTH", not, "-ERR"}, {"HEALTH", nil, "-ERR"}, {"DUMP", nil, "-ERR"},
-		{"DUMP", not, "+OK"}, {"health", ready, "-ERR"}, {"", ready, "-ERR"}, {"\x00\xff", ready, "-ERR"},
+		{"HEALTH", ready, "+OK"}, {"HEALTH", notReady, "-ERR"}, {"HEALTH", nil, "-ERR"}, {"DUMP", nil, "-ERR"},
+		{"DUMP", notReady, "+OK"}, {"health", ready, "-ERR"}, {"", ready, "-ERR"}, {"\x00\xff", ready, "-ERR"},
 	} {
-		if got := string(Answer(tc.call, tc.f)); !strings.HasPrefix(got, tc.want) || !strings.HasSuffix(got, "\n") {
-			t.Errorf("%q: got %q, want %s", tc.call, got, tc.want)
+		if got := string(Answer(tc.command, tc.metrics)); !strings.HasPrefix(got, tc.want) ||
+			!strings.HasSuffix(got, "\n") {
+			t.Errorf("%q: got %q, want %s", tc.command, got, tc.want)
 		}
 	}
 }
