--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,81 +9,85 @@
 	"slices"
 )
 
-// place adds the line to what a decoder says of a file, of which it read the part that begins at base.
-func place(raw []byte, base int, err error) error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	at := -1
-	if errors.As(err, &syntax) {
-		at = int(syntax.Offset)
-	} else if errors.As(err, &kind) {
-		at = int(kind.Offset)
+// withLine adds the line number to a JSON decoding error. The decoder read the part of raw that begins
+// at the offset base.
+func withLine(raw []byte, base int, err error) error {
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
+	offset := -1
+	if errors.As(err, &syntaxError) {
+		offset = int(syntaxError.Offset)
+	} else if errors.As(err, &typeError) {
+		offset = int(typeError.Offset)
 	}
-	if at < 0 || base+at > len(raw) {
+	if offset < 0 || base+offset > len(raw) {
 		return err
 	}
-	return fmt.Errorf("line %d: %w", 1+bytes.Count(raw[:base+at], []byte("\n")), err)
+	return fmt.Errorf("line %d: %w", 1+bytes.Count(raw[:base+offset], []byte("\n")), err)
 }
 
-// lacks names the first key that an old file has and a new one has not, empty when there is none. Of
-// the elements of a list each must have the keys that all of the old ones have. What the server list says
-// is no matter of keys.
-func lacks(old, new []byte) string {
-	var was, is any
-	if json.Unmarshal(old, &was) != nil || json.Unmarshal(new, &is) != nil {
-		return "" // neither was taken
+// missingKey returns the path of the first key that the old file has and the new one lacks, or "" if
+// there is none. Each element of a list must have the keys that all elements of the old list have. The
+// contents of the server list (key known) are not compared.
+func missingKey(oldFile, newFile []byte) string {
+	var before, after any
+	if json.Unmarshal(oldFile, &before) != nil || json.Unmarshal(newFile, &after) != nil {
+		return "" // a file that does not parse was rejected before
 	}
-	return missing(was, is, "")
+	return missingIn(before, after, "")
 }
 
-func missing(was, is any, path string) string {
-	switch was := was.(type) {
+// missingIn is missingKey for two decoded values at the given path.
+func missingIn(before, after any, path string) string {
+	switch before := before.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
+		after, ok := after.(map[string]any)
 		if !ok {
 			return path
 		}
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			at := key
+		for _, key := range slices.Sorted(maps.Keys(before)) {
+			keyPath := key
 			if path != "" {
-				at = path + "." + key
+				keyPath = path + "." + key
 			}
-			if _, there := is[key]; !there {
-				return at
-			} else if at == "known" {
+			if _, present := after[key]; !present {
+				return keyPath
+			} else if keyPath == "known" {
 				continue
 			}
-			if lost := missing(was[key], is[key], at); lost != "" {
-				return lost
+			if missing := missingIn(before[key], after[key], keyPath); missing != "" {
+				return missing
 			}
 		}
 	case []any:
-		is, ok := is.([]any)
+		after, ok := after.([]any)
 		if !ok {
 			return path
 		}
-		common := shared(was)
-		for i := range is {
-			if lost := missing(common, is[i], fmt.Sprintf("%s[%d]", path, i)); common != nil && lost != "" {
-				return lost
+		common := commonKeys(before)
+		for i := range after {
+			if missing := missingIn(common, after[i], fmt.Sprintf("%s[%d]", path, i)); common != nil &&
+				missing != "" {
+				return missing
 			}
 		}
 	}
 	return ""
 }
 
-// shared is an object with the keys that all elements of a list have, nil where they are not all objects.
-func shared(list []any) any {
+// commonKeys returns an object with the keys that all elements of the list have, or nil if the list is
+// empty or not all elements are objects.
+func commonKeys(list []any) any {
 	var common map[string]any
-	for _, e := range list {
-		o, ok := e.(map[string]any)
+	for _, element := range list {
+		object, ok := element.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if common == nil {
-			common = maps.Clone(o)
+			common = maps.Clone(object)
 		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { _, there := o[key]; return !there })
+		maps.DeleteFunc(common, func(key string, _ any) bool { _, present := object[key]; return !present })
 	}
 	if common == nil {
 		return nil
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -13,32 +13,32 @@
 
 // Node is the configuration of one proxy.
 type Node struct {
-	Name         string
-	Listen       string
-	Discovery    string
-	Admin        string // where operators call; empty: nowhere
+	Name         string // name of the proxy
+	Listen       string // address for clients
+	Discovery    string // address of discovery
+	Admin        string // address of the operators' interface; empty: none
 	Seed         uint64
-	PassedSocket string // descriptor of a listening socket that is passed to the process; empty: none
-	HandoverDir  string // folder for what one process hands over to the next
+	PassedSocket string // file descriptor of an inherited listening socket; empty: none
+	HandoverDir  string // directory of the handover file
 	Limits       Limits
-	Known        json.RawMessage // the server list as last had, in discovery's form
+	Known        json.RawMessage // the last known server list, as a discovery document
 	Settings     Settings
 
-	raw []byte // the file
+	raw []byte // contents of the configuration file
 }
 
-// Limits are what the proxy's machine allows it.
+// Limits are the resources that the proxy may use on its host.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // open sockets of all kinds
 }
 
-// leastSockets leaves a few for each side besides what the process itself needs.
-const leastSockets = 64
+// minSockets leaves a few sockets for clients and for servers besides those that the process itself needs.
+const minSockets = 64
 
-// Load reads the file that NODE_CONFIG names; the other NODE_ variables, where they are set,
-// go before it. An error is one line that names the key.
+// Load reads the file that NODE_CONFIG names. The other NODE_ variables override it where they are set.
+// An error is one line that names the key.
 func Load(getenv func(string) string) (Node, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -48,35 +48,36 @@
 	if err != nil {
 		return Node{}, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
-	n, err := ParseNode(raw, getenv)
+	node, err := ParseNode(raw, getenv)
 	if err != nil {
 		return Node{}, fmt.Errorf("NODE_CONFIG: %s: %w", path, err)
 	}
-	return n, nil
+	return node, nil
 }
 
-// Reload reads the file again while the program runs. NODE_DISCOVERY tells where discovery was
-// at the start: from here on the file goes before it. A file that lacks a key that the one in force has is
-// turned down: it was cut or written by a tool that failed.
-func Reload(getenv func(string) string, inForce Node) (Node, error) {
-	n, err := Load(func(key string) string {
+// Reload reads the file again while the program runs. NODE_DISCOVERY holds the address of discovery at
+// the start; on a reload the file takes precedence over it. A file that lacks a key of the current one
+// is rejected, because it was truncated or written by a tool that failed.
+func Reload(getenv func(string) string, current Node) (Node, error) {
+	node, err := Load(func(key string) string {
 		if key == "NODE_DISCOVERY" {
 			return ""
 		}
 		return getenv(key)
 	})
 	if err != nil {
-		return n, err
+		return node, err
 	}
-	if key := lacks(inForce.raw, n.raw); key != "" {
-		return n, fmt.Errorf("NODE_CONFIG: %s: %s: not there, but in the file in force", getenv("NODE_CONFIG"), key)
+	if key := missingKey(current.raw, node.raw); key != "" {
+		return node, fmt.Errorf("NODE_CONFIG: %s: %s: missing, but present in the current configuration",
+			getenv("NODE_CONFIG"), key)
 	}
-	return n, nil
+	return node, nil
 }
 
-// ParseNode reads a configuration.
+// ParseNode parses and validates the contents of a configuration file and applies the NODE_ variables.
 func ParseNode(raw []byte, getenv func(string) string) (Node, error) {
-	var in struct {
+	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
 		Discovery string          `json:"discovery"`
@@ -86,76 +87,76 @@
 		Known     json.RawMessage `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
-		return Node{}, place(raw, 0, err)
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return Node{}, withLine(raw, 0, err)
 	}
-	n := Node{raw: raw, Limits: in.Limits, Known: in.Known, PassedSocket: getenv("NODE_PASSED_SOCKET"),
+	node := Node{raw: raw, Limits: file.Limits, Known: file.Known, PassedSocket: getenv("NODE_PASSED_SOCKET"),
 		HandoverDir: getenv("TMPDIR")}
-	for _, v := range []struct {
-		to            *string
-		key, env, own string
+	for _, setting := range []struct {
+		target                *string
+		key, env, fileSetting string
 	}{
-		{&n.Name, "name", "NODE_NAME", in.Name},
-		{&n.Listen, "listen", "NODE_LISTEN", in.Listen},
-		{&n.Discovery, "discovery", "NODE_DISCOVERY", in.Discovery},
-		{&n.Admin, "admin", "NODE_ADMIN", in.Admin},
+		{&node.Name, "name", "NODE_NAME", file.Name},
+		{&node.Listen, "listen", "NODE_LISTEN", file.Listen},
+		{&node.Discovery, "discovery", "NODE_DISCOVERY", file.Discovery},
+		{&node.Admin, "admin", "NODE_ADMIN", file.Admin},
 	} {
-		name := v.key
-		if *v.to = v.own; getenv(v.env) != "" {
-			*v.to, name = getenv(v.env), v.env
+		name := setting.key
+		if *setting.target = setting.fileSetting; getenv(setting.env) != "" {
+			*setting.target, name = getenv(setting.env), setting.env
 		}
-		if *v.to == "" && v.key == "admin" {
+		if *setting.target == "" && setting.key == "admin" {
 			continue
 		}
-		if *v.to == "" {
-			return n, fmt.Errorf("%s: not set", name)
+		if *setting.target == "" {
+			return node, fmt.Errorf("%s: not set", name)
 		}
-		if v.key != "name" {
-			if err := address(*v.to); err != nil {
-				return n, fmt.Errorf("%s: %w", name, err)
+		if setting.key != "name" {
+			if err := checkAddress(*setting.target); err != nil {
+				return node, fmt.Errorf("%s: %w", name, err)
 			}
 		}
 	}
 	var err error
-	if n.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
-		return n, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", in.Seed)
+	if node.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return node, fmt.Errorf("seed: %q is not a hexadecimal number of at most 64 bits", file.Seed)
 	}
 	switch {
-	case !(n.Limits.Cores > 0):
-		return n, fmt.Errorf("limits.cores: %v, want more than 0", n.Limits.Cores)
-	case n.Limits.MemoryMB < 1:
-		return n, fmt.Errorf("limits.memory_mb: %d, want at least 1", n.Limits.MemoryMB)
-	case n.Limits.Sockets < leastSockets:
-		return n, fmt.Errorf("limits.sockets: %d, want at least %d", n.Limits.Sockets, leastSockets)
-	case in.Settings == nil:
-		return n, errors.New("settings: not set")
-	}
-	if n.Settings, err = Decode(in.Settings); err != nil {
-		return n, place(raw, max(0, bytes.Index(raw, in.Settings)), err)
-	}
-	for i, c := range n.Settings.Classes {
+	case !(node.Limits.Cores > 0):
+		return node, fmt.Errorf("limits.cores: %v, want more than 0", node.Limits.Cores)
+	case node.Limits.MemoryMB < 1:
+		return node, fmt.Errorf("limits.memory_mb: %d, want at least 1", node.Limits.MemoryMB)
+	case node.Limits.Sockets < minSockets:
+		return node, fmt.Errorf("limits.sockets: %d, want at least %d", node.Limits.Sockets, minSockets)
+	case file.Settings == nil:
+		return node, errors.New("settings: not set")
+	}
+	if node.Settings, err = Decode(file.Settings); err != nil {
+		return node, withLine(raw, max(0, bytes.Index(raw, file.Settings)), err)
+	}
+	for i, c := range node.Settings.Classes {
 		if c.Deadline <= 0 {
-			return n, fmt.Errorf("settings: classes[%d].deadline: %v, want more than 0", i, c.Deadline)
+			return node, fmt.Errorf("settings: classes[%d].deadline: %v, want more than 0", i, c.Deadline)
 		}
 	}
-	if n.Settings.ConnectTimeout <= 0 {
-		return n, errors.New("settings: bounds.connect-timeout: want more than 0")
+	if node.Settings.ConnectTimeout <= 0 {
+		return node, errors.New("settings: bounds.connect-timeout: want more than 0")
 	}
-	if n.Settings.KeepAlive <= 0 {
-		return n, errors.New("settings: bounds.keepalive: want more than 0")
+	if node.Settings.KeepAlive <= 0 {
+		return node, errors.New("settings: bounds.keepalive: want more than 0")
 	}
-	_, err = lg.New(n.Settings.Settings, n.Seed) // which names what no deployment can mean
-	return n, err
+	_, err = lg.New(node.Settings.Settings, node.Seed) // validates the settings
+	return node, err
 }
 
-// address reports what is no numeric host and port.
-func address(s string) error {
-	host, port, err := net.SplitHostPort(s)
+// checkAddress returns an error unless the address is an IP address and a port other than 0.
+func checkAddress(address string) error {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
-	if p, err := strconv.ParseUint(port, 10, 16); err != nil || p == 0 || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no numeric host and port", s)
+	if number, err := strconv.ParseUint(port, 10, 16); err != nil || number == 0 || net.ParseIP(host) == nil {
+		return fmt.Errorf("%q is not a numeric host and port", address)
 	}
 	return nil
 }
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -11,8 +11,12 @@
  "settings":{"balancers":4,"bounds":{"keepalive":60000.0,"connect-timeout":200.0,"most-tries":5},
  "classes":[{"name":"a","aim":400.0,"deadline":800.0,"semantics":"keyed","group":"zone"}]}}`
 
-func env(vars map[string]string) func(string) string { return func(k string) string { return vars[k] } }
+// env returns a getenv function over the given variables.
+func env(vars map[string]string) func(string) string {
+	return func(key string) string { return vars[key] }
+}
 
+// TestNode covers a valid file and a variable that overrides one of its keys.
 func TestNode(t *testing.T) {
 	n, err := ParseNode([]byte(nodeJSON), env(map[string]string{"NODE_LISTEN": "127.0.0.2:1"}))
 	if err != nil || n.Listen != "127.0.0.2:1" || n.Seed != 0x8c1f30d27a5be964 ||
@@ -21,8 +25,9 @@
 	}
 }
 
-// TestFaultsNameTheKey covers each setting that can be wrong: one line that names it.
-func TestFaultsNameTheKey(t *testing.T) {
+// TestErrorsNameTheKey checks that an invalid setting causes a one-line error that names its key or its
+// line.
+func TestErrorsNameTheKey(t *testing.T) {
 	tests := []struct{ old, new, want string }{
 		{`"name":"n1"`, `"name":""`, "name"},
 		{`127.0.0.1:8081`, `localhost`, "listen"},
@@ -54,11 +59,11 @@
 	}
 }
 
-// TestReloadedFilesKeepTheirKeys covers files that say less than the one in force: each is turned down
-// by the key that it lacks. What may differ from element to element is no fault.
-func TestReloadedFilesKeepTheirKeys(t *testing.T) {
+// TestReloadDetectsMissingKeys checks that a file that lacks a key of the current one is rejected and
+// the key named. Keys that only some elements of a list have may be absent.
+func TestReloadDetectsMissingKeys(t *testing.T) {
 	old := `{"a":1,"known":{"x":1},"b":{"c":[{"n":1,"m":2},{"n":1}],"d":{"e":2}}}`
-	for in, want := range map[string]string{
+	for newFile, want := range map[string]string{
 		`{"a":2,"known":{},"b":{"c":[{"n":7}],"d":{"e":3,"f":1}},"g":1}`: "",
 		`{"known":{},"b":{"c":[],"d":{"e":2}}}`:                          "a",
 		`{"a":1,"b":{"c":[],"d":{"e":2}}}`:                               "known",
@@ -67,8 +72,8 @@
 		`{"a":1,"known":{},"b":{"c":{},"d":{"e":2}}}`:                    "b.c",
 		`{"a":1,"known":{},"b":[]}`:                                      "b",
 	} {
-		if got := lacks([]byte(old), []byte(in)); got != want {
-			t.Errorf("%s: lacks %q, want %q", in, got, want)
+		if got := missingKey([]byte(old), []byte(newFile)); got != want {
+			t.Errorf("%s: missing key %q, want %q", newFile, got, want)
 		}
 	}
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -7,13 +7,13 @@
 	"lilacglade/internal/transient"
 )
 
-// readFor is how long a file that can't be read for the moment is tried again. A configuration that was put
-// in place is not dropped because the process was out of descriptors when it was told of it.
-const readFor = 2 * time.Second
+// readRetryTimeout is how long reading a file is retried after a transient error. Otherwise a new
+// configuration would be ignored if the process was out of file descriptors when it was notified of it.
+const readRetryTimeout = 2 * time.Second
 
-// readFile reads a whole file.
+// readFile reads a whole file and retries after transient errors.
 func readFile(path string) (raw []byte, err error) {
-	err = transient.Retry(readFor, transient.Reading, func() (err error) {
+	err = transient.Retry(readRetryTimeout, transient.Reading, func() (err error) {
 		raw, err = os.ReadFile(path)
 		return err
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes what a proxy is told at its start: the settings object that the
-// simulator's wire and a real proxy's configuration share, and that configuration itself.
+// Package settings decodes the configuration file of a proxy, and the settings object in it, which the
+// simulator's protocol uses too.
 package settings
 
 import (
@@ -12,16 +12,17 @@
 	lg "lilacglade"
 )
 
-// Settings are a Balancer's settings and what else the proxy round it reads from the same object.
+// Settings are the settings of a Balancer and those of the proxy around it that the same object holds.
 type Settings struct {
 	lg.Settings
 	ZoneNames []string
-	KindNames []string
-	KeepAlive time.Duration // idle connections are closed by the other side after this
+	KindNames []string      // names of the server models
+	KeepAlive time.Duration // idle time after which the other side closes a connection
 }
 
-// object holds the keys of the settings that are read; others are skipped.
-type object struct {
+// settingsObject is the settings object in JSON. Keys that it lacks are ignored. Durations are in
+// milliseconds.
+type settingsObject struct {
 	Zones     []string `json:"azs"`
 	Kinds     []string `json:"models"`
 	Balancers int      `json:"balancers"`
@@ -76,24 +77,24 @@
 }
 
 var (
-	effects = map[string]lg.Effect{"safe": lg.Safe, "keyed": lg.Keyed, "unsafe": lg.Unsafe}
-	groups  = map[string]lg.Group{"": lg.GroupAll, "all": lg.GroupAll, "zone": lg.GroupZone,
+	effectNames = map[string]lg.Effect{"safe": lg.Safe, "keyed": lg.Keyed, "unsafe": lg.Unsafe}
+	groupNames  = map[string]lg.Group{"": lg.GroupAll, "all": lg.GroupAll, "zone": lg.GroupZone,
 		"cell": lg.GroupCell}
-	fields = map[string]lg.LoadField{"rif": lg.LoadInFlight, "q": lg.LoadQueue, "busy": lg.LoadUtil,
+	loadFieldNames = map[string]lg.LoadField{"rif": lg.LoadInFlight, "q": lg.LoadQueue, "busy": lg.LoadUtil,
 		"lat_ms": lg.LoadLatency, "rate": lg.LoadRate, "fail_rate": lg.LoadErrors}
 )
 
-// LoadFields are the names of load values as servers report them: some by the names that the
-// protocol's page gives, some by those of the settings.
+// LoadFields maps the names under which servers report load values: the names in the protocol
+// documentation and those that the settings use.
 var LoadFields = map[string]lg.LoadField{"inflight": lg.LoadInFlight, "queue": lg.LoadQueue,
 	"util": lg.LoadUtil, "latency_ms": lg.LoadLatency, "qps": lg.LoadRate, "eps": lg.LoadErrors}
 
-func init() { maps.Copy(LoadFields, fields) }
+func init() { maps.Copy(LoadFields, loadFieldNames) }
 
-// maxMillis is some thirty years: no clock, delay or setting comes near it.
+// maxMillis is about thirty years in milliseconds; no clock reading, delay or setting comes near it.
 const maxMillis = 1e12
 
-// Millis turns milliseconds into a time; what cannot be one is 0.
+// Millis converts milliseconds to a duration. NaN and values beyond maxMillis become 0.
 func Millis(ms float64) time.Duration {
 	if !(math.Abs(ms) < maxMillis) {
 		ms = 0
@@ -101,56 +102,58 @@
 	return time.Duration(math.Round(ms * 1e6))
 }
 
-// Decode reads the settings object.
+// Decode parses the settings object.
 func Decode(raw []byte) (Settings, error) {
-	var in object
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var object settingsObject
+	if err := json.Unmarshal(raw, &object); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if in.Stage < 0 || in.Stage >= max(1, len(in.Tiers)) {
-		return Settings{}, fmt.Errorf("settings: stage %d, out of range for %d tiers", in.Stage, len(in.Tiers))
+	if object.Stage < 0 || object.Stage >= max(1, len(object.Tiers)) {
+		return Settings{}, fmt.Errorf("settings: stage %d, out of range for %d tiers",
+			object.Stage, len(object.Tiers))
 	}
-	set := Settings{ZoneNames: in.Zones, KindNames: in.Kinds, KeepAlive: Millis(in.Bounds.KeepAlive)}
-	set.Settings = lg.Settings{
-		Me: in.Me, Balancers: in.Balancers, Zone: in.Zone, Zones: len(in.Zones),
-		WorthByWork:    in.CountedBy == "work",
-		OverShareWorth: in.OverShareWorth,
-		CrossZonePrice: in.Prices.CrossZone,
-		HeldPrice:      in.Prices.Connection,
-		AskForList:     in.MembershipMode == "on_request",
-		AskEvery:       Millis(in.Rules.AskEvery),
-		MaxAttempts:    in.Bounds.MostTries,
-		SecondCopies:   in.Bounds.SecondCopies,
-		Cancel:         in.Bounds.Cancel,
-		ConnectTimeout: Millis(in.Bounds.ConnectTimeout),
-		ColdShare:      in.Rules.ColdFrom,
-		WarmWithin:     Millis(in.Rules.WarmWithin),
-		TipMultiple:    in.Rules.TipMultiple,
-		TipWindow:      Millis(in.Rules.OverloadFor),
-		DrainGrace:     Millis(in.Rules.StopSendingWithin),
-		AnswerSlack:    Millis(in.Rules.AnswerSlack),
+	settings := Settings{ZoneNames: object.Zones, KindNames: object.Kinds,
+		KeepAlive: Millis(object.Bounds.KeepAlive)}
+	settings.Settings = lg.Settings{
+		Me: object.Me, Balancers: object.Balancers, Zone: object.Zone, Zones: len(object.Zones),
+		WorthByWork:    object.CountedBy == "work",
+		OverShareWorth: object.OverShareWorth,
+		CrossZonePrice: object.Prices.CrossZone,
+		HeldPrice:      object.Prices.Connection,
+		AskForList:     object.MembershipMode == "on_request",
+		AskEvery:       Millis(object.Rules.AskEvery),
+		MaxAttempts:    object.Bounds.MostTries,
+		SecondCopies:   object.Bounds.SecondCopies,
+		Cancel:         object.Bounds.Cancel,
+		ConnectTimeout: Millis(object.Bounds.ConnectTimeout),
+		ColdShare:      object.Rules.ColdFrom,
+		WarmWithin:     Millis(object.Rules.WarmWithin),
+		TipMultiple:    object.Rules.TipMultiple,
+		TipWindow:      Millis(object.Rules.OverloadFor),
+		DrainGrace:     Millis(object.Rules.StopSendingWithin),
+		AnswerSlack:    Millis(object.Rules.AnswerSlack),
 	}
-	if in.Bounds.RetryAfter {
-		set.MaxRetryAfter = Millis(in.Bounds.MaxRetryAfter)
+	if object.Bounds.RetryAfter {
+		settings.MaxRetryAfter = Millis(object.Bounds.MaxRetryAfter)
 	}
-	for _, n := range in.Reporting.Names {
-		set.Report = append(set.Report, fields[n]) // a name not known is LoadOther
+	for _, name := range object.Reporting.Names {
+		settings.Report = append(settings.Report, loadFieldNames[name]) // an unknown name yields LoadOther
 	}
-	for i, c := range in.Classes {
-		effect, ok := effects[c.Semantics]
+	for i, class := range object.Classes {
+		effect, ok := effectNames[class.Semantics]
 		if !ok {
-			return set, fmt.Errorf("settings: classes[%d].semantics: unknown kind %q", i, c.Semantics)
+			return settings, fmt.Errorf("settings: classes[%d].semantics: unknown kind %q", i, class.Semantics)
 		}
-		group, ok := groups[c.Group]
+		group, ok := groupNames[class.Group]
 		if !ok {
-			return set, fmt.Errorf("settings: classes[%d].group: unknown group %q", i, c.Group)
+			return settings, fmt.Errorf("settings: classes[%d].group: unknown group %q", i, class.Group)
 		}
-		set.Classes = append(set.Classes, lg.Class{Name: c.Name, Aim: Millis(c.Aim),
-			Deadline: Millis(c.Deadline), Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect,
-			Group: group, Memory: Millis(c.MemorySpan), Stream: c.Stream})
+		settings.Classes = append(settings.Classes, lg.Class{Name: class.Name, Aim: Millis(class.Aim),
+			Deadline: Millis(class.Deadline), Worth: class.Worth, LateWorth: class.LateWorth, Effect: effect,
+			Group: group, Memory: Millis(class.MemorySpan), Stream: class.Stream})
 	}
-	for _, t := range in.Tenants {
-		set.Tenants = append(set.Tenants, lg.Tenant{Name: t.Name, Allowance: t.Allowance})
+	for _, tenant := range object.Tenants {
+		settings.Tenants = append(settings.Tenants, lg.Tenant{Name: tenant.Name, Allowance: tenant.Allowance})
 	}
-	return set, nil
+	return settings, nil
 }
