--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -61,8 +61,9 @@
 // UntilClose reports whether the body ends when its connection closes.
 func (d *Body) UntilClose() bool { return d.framing == untilClose }
 
-// Next decodes input. It returns the next part of the body and the input that is not decoded yet. The caller
-// repeats the call until rest is empty or Done is set; after that, rest belongs to the next message.
+// Next decodes input. It returns the next part of the body and the input that is not decoded yet. The
+// caller repeats the call until rest is empty or Done is set; after that, rest belongs to the next
+// message.
 func (d *Body) Next(input []byte) (data, rest []byte, err error) {
 	switch d.framing {
 	case noBody:
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -143,8 +143,8 @@
 	return p.take(), nil
 }
 
-// Large reports whether the body of the current message exceeds MaxBody, or MarkLarge was called. Next never
-// returns such a message; the caller takes it with Stream.
+// Large reports whether the body of the current message exceeds MaxBody, or MarkLarge was called. Next
+// never returns such a message; the caller takes it with Stream.
 func (p *Parser) Large() bool { return p.large && p.err == nil }
 
 // LengthUnknown reports whether the current message has an incomplete body of undeclared length.
@@ -175,7 +175,8 @@
 // HeadComplete reports whether the head of the current message is complete.
 func (p *Parser) HeadComplete() bool { return p.message != nil }
 
-// End handles the end of the stream. It returns the response whose body ends there, or nil if there is none.
+// End handles the end of the stream. It returns the response whose body ends there, or nil if there is
+// none.
 func (p *Parser) End() *Message {
 	if p.err != nil || p.message == nil || p.large || p.body.framing != untilClose {
 		return nil
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// parseAll feeds a stream in pieces of the given size in bytes and returns a text of the messages, and of the
-// error if there is one.
+// parseAll feeds a stream in pieces of the given size in bytes and returns a text of the messages, and
+// of the error if there is one.
 func parseAll(stream []byte, size int, responses bool) string {
 	var out strings.Builder
 	p := Parser{Responses: responses}
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestReturnedMessageIsImmutable checks that input received later on the same connection does not overwrite a
-// message that Next has returned and that may still be in use.
+// TestReturnedMessageIsImmutable checks that input received later on the same connection does not
+// overwrite a message that Next has returned and that may still be in use.
 func TestReturnedMessageIsImmutable(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST /api " + host + "Content-Length: 3\r\n\r\nabcGET /x"))
@@ -186,8 +186,8 @@
 	}
 }
 
-// FuzzParser checks that the result does not depend on how the stream is split, and that a forwarded request
-// parses back to the same body.
+// FuzzParser checks that the result does not depend on how the stream is split, and that a forwarded
+// request parses back to the same body.
 func FuzzParser(f *testing.F) {
 	chunked := "POST /api " + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	f.Add([]byte(chunked+"GET / "+host+"\r\n"), 5, false)
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -58,9 +58,9 @@
 	return append(m.appendFields(out, name), []byte(name+": "+value+"\r\n"+framingField(length)+"\r\n"))
 }
 
-// ForwardResponseHead returns the head of a response whose body is streamed, without the field named drop.
-// The length of the body is in bytes; with -1 (unknown) the body is sent in chunks, or to an HTTP/1.0 client
-// until the connection closes. With last set the connection closes after the response.
+// ForwardResponseHead returns the head of a response whose body is streamed, without the field named
+// drop. The length of the body is in bytes; with -1 (unknown) the body is sent in chunks, or to an
+// HTTP/1.0 client until the connection closes. With last set the connection closes after the response.
 func (m *Message) ForwardResponseHead(drop string, length int64, http10, last bool) [][]byte {
 	out := append(make([][]byte, 0, 4*len(m.Fields)+4), statusLine(m.Status))
 	fields := framingField(length)
@@ -73,7 +73,8 @@
 	return append(m.appendFields(out, drop), []byte(fields+"\r\n"))
 }
 
-// framingField returns the header line that declares the framing of a streamed body; length is -1 if unknown.
+// framingField returns the header line that declares the framing of a streamed body; length is -1 if
+// unknown.
 func framingField(length int64) string {
 	if length < 0 {
 		return "Transfer-Encoding: chunked\r\n"
