--- a/internal/transport/clients.go
+++ b/internal/transport/clients.go
@@ -17,7 +17,7 @@
 	if conn.busy {
 		// Limits a client that keeps sending without waiting for responses. Its first request is
 		// still answered.
-		if truncated || conn.parser.Held() > maxPipelinedBytes {
+		if truncated || conn.parser.Buffered() > maxPipelinedBytes {
 			conn.discarding.Store(true)
 			p.step(reducer.ClientFlooding{Conn: conn.id})
 		}
@@ -44,12 +44,12 @@
 			p.startUpload(conn)
 			return
 		}
-		if conn.parser.Head() && conn.headTime.IsZero() {
+		if conn.parser.HeadComplete() && conn.headTime.IsZero() {
 			conn.headTime = conn.lastRead
 		}
 		event := reducer.ClientReading{Conn: conn.id}
 		if !conn.headTime.IsZero() {
-			event.BodyAllowance = time.Duration(conn.parser.Came()) * time.Second / minUploadRate
+			event.BodyAllowance = time.Duration(conn.parser.Received()) * time.Second / minUploadRate
 			event.Deadline = p.at(conn.headTime) + uploadPauseBudget + event.BodyAllowance
 		}
 		p.step(event)
@@ -61,8 +61,8 @@
 
 // handleRequest passes on a complete request.
 func (p *proxy) handleRequest(conn *connection, message *http1.Message) {
-	conn.http10, conn.headTime = message.Old, time.Time{}
-	message.Close = message.Close || message.Old
+	conn.http10, conn.headTime = message.HTTP10, time.Time{}
+	message.Close = message.Close || message.HTTP10
 	p.step(p.parsedRequest(conn, message))
 }
 
@@ -88,17 +88,17 @@
 		p.handleRequest(conn, message)
 		return
 	}
-	closeAfter := message.Close || message.Old
+	closeAfter := message.Close || message.HTTP10
 	message.Close = true // no other request can follow one that is answered before its end
-	conn.http10, conn.headTime = message.Old, time.Time{}
+	conn.http10, conn.headTime = message.HTTP10, time.Time{}
 	event := p.parsedRequest(conn, message)
 	if request, ok := event.(reducer.RequestReceived); ok {
-		stream := &bodyStream{message: message, source: conn, length: body.Known(),
+		stream := &bodyStream{message: message, source: conn, length: body.Length(),
 			buffers: p.buffers, isUpload: true, body: body}
 		conn.streaming = true
-		remaining := stream.length - body.Came()
+		remaining := stream.length - body.Received()
 		if stream.length < 0 {
-			remaining = http1.MaxLarge
+			remaining = http1.MaxStreamedBody
 		}
 		request.Stream, request.Timeout, request.Last, request.Payload =
 			true, request.Deadline-p.at(conn.lastRead), closeAfter, stream
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -56,8 +56,8 @@
 
 // listen opens the address, or takes over the socket that was passed.
 func listen(node settings.Node) (netpoll.Listener, error) {
-	if node.Passed != "" {
-		ln, err := upgrade.Passed(node.Passed)
+	if node.PassedSocket != "" {
+		ln, err := upgrade.InheritedListener(node.PassedSocket)
 		if err != nil {
 			return nil, err // not ln: a nil pointer in an interface is not nil
 		}
@@ -106,13 +106,13 @@
 // takeOver applies what the previous process handed over. If any of it is unusable, this process
 // starts from its configuration alone.
 func (p *proxy) takeOver(node settings.Node) bool {
-	if !p.socketShared || node.Temp == "" {
+	if !p.socketShared || node.HandoverDir == "" {
 		return false
 	}
-	p.handoverWriter = newHandoverWriter(node.Temp)
+	p.handoverWriter = newHandoverWriter(node.HandoverDir)
 	now := upgrade.Now()
-	handover, err := upgrade.Load(node.Temp, now)
-	if err == upgrade.ErrNone {
+	handover, err := upgrade.Load(node.HandoverDir, now)
+	if err == upgrade.ErrNoHandover {
 		return false
 	}
 	if err != nil {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -67,7 +67,7 @@
 // publish reports the metrics to operators, and the load derived from them to the other proxies.
 func (p *proxy) publish(metrics *reducer.Metrics) {
 	if p.adminServer != nil {
-		p.adminServer.Show(metrics)
+		p.adminServer.Publish(metrics)
 	}
 	if p.peers == nil {
 		return
