--- a/cmd/lilacglade/admin_test.go
+++ b/cmd/lilacglade/admin_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// free is an address that nobody listens on.
-func free(t *testing.T) string {
+// unusedAddr returns a local address that nothing listens on.
+func unusedAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -20,39 +20,40 @@
 	return ln.Addr().String()
 }
 
-// call makes an operator's call, ending its sending if so asked, and returns all that comes back.
-func call(t *testing.T, addr, raw string, end bool) string {
+// adminCall sends raw bytes to the admin address, closes the sending side if closeWrite is set, and
+// returns everything received.
+func adminCall(t *testing.T, addr, raw string, closeWrite bool) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	io.WriteString(conn, raw)
-	if end {
+	if closeWrite {
 		conn.(*net.TCPConn).CloseWrite()
 	}
 	b, _ := io.ReadAll(conn)
 	return string(b)
 }
 
-// TestOperatorsCalls covers calls beside callers who hold connections, in every odd form, while an
-// album server hangs: the answers agree with what callers saw.
-func TestOperatorsCalls(t *testing.T) {
-	held := make(chan struct{})
-	release := sync.OnceFunc(func() { close(held) })
+// TestAdminCalls covers well-formed and malformed admin calls while other connections stay open and an
+// album server delays its answer: the counters agree with the answers that clients received.
+func TestAdminCalls(t *testing.T) {
+	unblock := make(chan struct{})
+	release := sync.OnceFunc(func() { close(unblock) })
 	defer release()
-	here := make(chan struct{}, 1)
-	os.Setenv("NODE_ADMIN", free(t))
+	received := make(chan struct{}, 1)
+	os.Setenv("NODE_ADMIN", unusedAddr(t))
 	defer os.Unsetenv("NODE_ADMIN")
-	n := start(t, discovery(t, album(t, func(w http.ResponseWriter, r *http.Request) {
+	n := startProxy(t, startDiscovery(t, startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Request-Id") == "held" {
-			here <- struct{}{}
-			<-held
+			received <- struct{}{}
+			<-unblock
 		}
 		echo(w, r)
 	})))
 	admin := os.Getenv("NODE_ADMIN")
-	for range 30 { // they say nothing, or half of something
+	for range 30 { // each sends an incomplete command
 		conn, err := net.Dial("tcp", admin)
 		if err != nil {
 			t.Fatal(err)
@@ -60,15 +61,15 @@
 		defer conn.Close()
 		io.WriteString(conn, "DU")
 	}
-	_, r := n.say(whole)
-	n.hear(r)
-	_, r = n.say(strings.Replace(whole, "Request-Id: r1", "Request-Id: held", 1))
-	<-here
+	_, r := n.send(fullRequest)
+	n.readResponse(r)
+	_, r = n.send(strings.Replace(fullRequest, "Request-Id: r1", "Request-Id: held", 1))
+	<-received
 	want := []string{"+OK\n", `node_handled{category="album-edit",outcome="passed"} 1` + "\n",
 		"node_in_progress 1\n",
 		"node_upstream_tries 2\n", "node_known_album_servers 1\n", "\n.\n"}
-	n.until("figures agree", func() bool {
-		dump := call(t, admin, "DUMP\r\n", true)
+	n.waitFor("figures agree", func() bool {
+		dump := adminCall(t, admin, "DUMP\r\n", true)
 		for _, w := range want {
 			if !strings.Contains(dump, w) {
 				return false
@@ -79,12 +80,12 @@
 	for raw, want := range map[string]string{"HEALTH\n": "+OK", "DANCE\n": "-ERR",
 		strings.Repeat("x", 70000): "-ERR",
 		"\x00\x01\xff\n":           "-ERR", "DUMP\nDUMP\n": "+OK"} {
-		if got := call(t, admin, raw, false); !strings.HasPrefix(got, want) || strings.Count(got, "+OK") > 1 {
+		if got := adminCall(t, admin, raw, false); !strings.HasPrefix(got, want) || strings.Count(got, "+OK") > 1 {
 			t.Errorf("%.20q: got %q, want %s", raw, got, want)
 		}
 	}
 	release()
-	if res, _ := n.hear(r); res.StatusCode != 200 {
+	if res, _ := n.readResponse(r); res.StatusCode != 200 {
 		t.Errorf("the held request got %d", res.StatusCode)
 	}
 }
--- a/cmd/lilacglade/large_test.go
+++ b/cmd/lilacglade/large_test.go
@@ -16,8 +16,8 @@
 	"testing"
 )
 
-// large is a body far beyond what is kept whole; no part of it looks like another.
-var large = func() []byte {
+// largeBody is far larger than the bodies that the proxy buffers whole. No part of it repeats.
+var largeBody = func() []byte {
 	b := make([]byte, 0, 3<<20)
 	for i := 0; len(b) < 3<<20; i++ {
 		b = strconv.AppendInt(append(b, ' '), int64(i), 36)
@@ -25,14 +25,14 @@
 	return b
 }()
 
-// weigh answers with what came.
-func weigh(w http.ResponseWriter, r *http.Request) {
+// reportBody answers with the length and hash of the request body, its declared length and the read error.
+func reportBody(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "%d %x %v %v", len(body), sha256.Sum256(body), r.ContentLength, err)
 }
 
-// chunks words a body in chunks of the given size, with an extension and a trailer.
-func chunks(body []byte, size int) string {
+// encodeChunked encodes a body in chunks of size bytes, with chunk extensions and a trailer.
+func encodeChunked(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
 		n := min(size, len(body))
@@ -42,14 +42,16 @@
 	return b.String() + "0\r\nT: u\r\n\r\n"
 }
 
-// TestLargeRequests covers every framing, a caller that waits for leave, and what follows on the same leg.
+// TestLargeRequests covers each framing, the next request on the same connection, and a client that waits
+// for 100 Continue.
 func TestLargeRequests(t *testing.T) {
-	n := start(t, discovery(t, album(t, weigh)))
-	sum := fmt.Sprintf("%d %x ", len(large), sha256.Sum256(large))
-	counted := edit + "Content-Length: " + strconv.Itoa(len(large)) + "\r\n\r\n" + string(large)
-	chunked := edit + "Transfer-Encoding: chunked\r\n\r\n"
-	for name, in := range map[string]string{"counted": counted, "chunked": chunked + chunks(large, 50000),
-		"small chunks": chunked + chunks(large, 100)} {
+	n := startProxy(t, startDiscovery(t, startServer(t, reportBody)))
+	sum := fmt.Sprintf("%d %x ", len(largeBody), sha256.Sum256(largeBody))
+	counted := requestHeader + "Content-Length: " + strconv.Itoa(len(largeBody)) + "\r\n\r\n" + string(largeBody)
+	chunked := requestHeader + "Transfer-Encoding: chunked\r\n\r\n"
+	for name, in := range map[string]string{"counted": counted,
+		"chunked":      chunked + encodeChunked(largeBody, 50000),
+		"small chunks": chunked + encodeChunked(largeBody, 100)} {
 		conn, err := net.Dial("tcp", n.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -57,30 +59,31 @@
 		defer conn.Close()
 		go func() {
 			io.WriteString(conn, in)
-			io.WriteString(conn, strings.Replace(whole, "r1", "r2", 1))
+			io.WriteString(conn, strings.Replace(fullRequest, "r1", "r2", 1))
 		}()
 		r := bufio.NewReader(conn)
-		res, body := n.hear(r)
+		res, body := n.readResponse(r)
 		if res.StatusCode != 200 || !strings.HasPrefix(body, sum) || strings.Contains(body, "EOF") {
 			t.Errorf("%s: got %d %.200q, want %s", name, res.StatusCode, body, sum)
-		} else if res, body := n.hear(r); res.StatusCode != 200 || !strings.HasPrefix(body, "3 ") {
+		} else if res, body := n.readResponse(r); res.StatusCode != 200 || !strings.HasPrefix(body, "3 ") {
 			t.Errorf("%s: the next one got %d %.200q", name, res.StatusCode, body)
 		}
 	}
-	_, r := n.say(edit + "Expect: 100-continue\r\nContent-Length: 70000\r\n\r\n")
+	_, r := n.send(requestHeader + "Expect: 100-continue\r\nContent-Length: 70000\r\n\r\n")
 	if line, _ := r.ReadString('\n'); !strings.Contains(line, "100") {
-		t.Errorf("no leave: %q", line)
+		t.Errorf("no 100 Continue: %q", line)
 	}
 }
 
-// TestLargeRequestsThatEndWrongly covers next hops that break off or answer early and callers that send
-// what can't be read: one answer, no second attempt of what is gone, and the proxy serves on.
-func TestLargeRequestsThatEndWrongly(t *testing.T) {
+// TestIncompleteLargeRequests covers servers that disconnect or answer early and clients that send
+// malformed or incomplete bodies: one answer, no retry of a body that is no longer held, and the proxy
+// keeps serving.
+func TestIncompleteLargeRequests(t *testing.T) {
 	var mu sync.Mutex
-	tries := map[string]int{}
-	n := start(t, discovery(t, album(t, func(w http.ResponseWriter, r *http.Request) {
+	attempts := map[string]int{}
+	n := startProxy(t, startDiscovery(t, startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		tries[r.Header.Get("Request-Id")]++
+		attempts[r.Header.Get("Request-Id")]++
 		mu.Unlock()
 		some := make([]byte, 1<<20)
 		switch r.Header.Get("Request-Id") {
@@ -92,20 +95,20 @@
 			w.Header().Set("Not-Started", "1")
 			w.WriteHeader(503)
 		default:
-			weigh(w, r)
+			reportBody(w, r)
 		}
 	})))
-	// More than all buffers on the way hold: it can't have been written whole when its next hop breaks off.
+	// More than all buffers on the path hold, so it cannot be fully written when the server disconnects.
 	length, huge := "Content-Length: 30000000\r\n\r\n", strings.Repeat("0123456789", 3000000)
 	for _, tc := range []struct {
 		id, in string
 		status int
 	}{
-		{"breaks", length + huge, 503}, // it was never whole at a next hop
+		{"breaks", length + huge, 503}, // no server received it completely
 		{"full", length + huge, 503},
-		{"spoilt", "Transfer-Encoding: chunked\r\n\r\n" + strings.TrimSuffix(chunks(large[:1<<20], 50000),
-			"0\r\nT: u\r\n\r\n") + "nonsense\r\n", 400},
-		{"stops", length + string(large[:1<<20]), 408},
+		{"spoilt", "Transfer-Encoding: chunked\r\n\r\n" + strings.TrimSuffix(
+			encodeChunked(largeBody[:1<<20], 50000), "0\r\nT: u\r\n\r\n") + "nonsense\r\n", 400},
+		{"stops", length + string(largeBody[:1<<20]), 408},
 		{"endless", "Content-Length: 60000000\r\n\r\n", 413},
 		{"unknown", strings.Replace(length, "Content", "Tenant: x\r\nContent", 1) + huge, 400},
 	} {
@@ -114,84 +117,84 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		go io.WriteString(conn, strings.Replace(edit, "r1", tc.id, 1)+tc.in)
-		if res, _ := n.hear(bufio.NewReader(conn)); res.StatusCode != tc.status || !res.Close {
+		go io.WriteString(conn, strings.Replace(requestHeader, "r1", tc.id, 1)+tc.in)
+		if res, _ := n.readResponse(bufio.NewReader(conn)); res.StatusCode != tc.status || !res.Close {
 			t.Errorf("%s: got %d, closing %t, want %d", tc.id, res.StatusCode, res.Close, tc.status)
 		}
 	}
-	_, r := n.say(whole)
-	if res, _ := n.hear(r); res.StatusCode != 200 {
-		t.Errorf("after all that: got %d", res.StatusCode)
+	_, r := n.send(fullRequest)
+	if res, _ := n.readResponse(r); res.StatusCode != 200 {
+		t.Errorf("after the incomplete requests: got %d", res.StatusCode)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if tries["breaks"] != 1 || tries["full"] != 1 {
-		t.Errorf("tries %v, want one each of what was gone", tries)
+	if attempts["breaks"] != 1 || attempts["full"] != 1 {
+		t.Errorf("attempts %v, want one for each body that is no longer held", attempts)
 	}
 }
 
-// answerTo is what TestLargeAnswers wants of a request.
-func answerTo(id string) []byte {
+// expectedBody returns the body that TestLargeAnswers expects for a request ID.
+func expectedBody(id string) []byte {
 	if id == "closed small" {
-		return large[:80000]
+		return largeBody[:80000]
 	}
-	return large
+	return largeBody
 }
 
-// TestLargeAnswers covers every framing, to callers that know chunks and to one that doesn't, and one that
-// breaks off: the caller must be able to tell.
+// TestLargeAnswers covers each framing, for HTTP/1.1 clients and for HTTP/1.0 clients, which have no
+// chunked encoding. A client must be able to detect a truncated answer.
 func TestLargeAnswers(t *testing.T) {
-	n := start(t, discovery(t, album(t, func(w http.ResponseWriter, r *http.Request) {
-		how := r.Header.Get("Request-Id")
-		if strings.HasPrefix(how, "closed") || how == "cut" {
+	n := startProxy(t, startDiscovery(t, startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		id := r.Header.Get("Request-Id")
+		if strings.HasPrefix(id, "closed") || id == "cut" {
 			conn, buf, err := w.(http.Hijacker).Hijack()
 			if err != nil {
 				return
 			}
 			defer conn.Close()
 			length := ""
-			if how == "cut" {
-				length = "Content-Length: " + strconv.Itoa(len(large)+1) + "\r\n"
+			if id == "cut" {
+				length = "Content-Length: " + strconv.Itoa(len(largeBody)+1) + "\r\n"
 			}
 			buf.WriteString("HTTP/1.1 200 OK\r\n" + length + "Connection: close\r\n\r\n")
-			buf.Write(answerTo(how))
+			buf.Write(expectedBody(id))
 			buf.Flush()
 			return
 		}
-		if how == "counted" {
-			w.Header().Set("Content-Length", strconv.Itoa(len(large)))
+		if id == "counted" {
+			w.Header().Set("Content-Length", strconv.Itoa(len(largeBody)))
 		}
-		w.Write(large)
+		w.Write(largeBody)
 	})))
-	// What fits the kernel's buffers comes together with its connection's end.
-	for _, how := range []string{"counted", "chunked", "closed", "cut", "closed small"} {
+	// The small body fits the socket buffers, so it arrives together with the end of its connection.
+	for _, id := range []string{"counted", "chunked", "closed", "cut", "closed small"} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
-			in := strings.Replace(strings.Replace(whole, "r1", how, 1), "HTTP/1.1", version, 1)
-			_, r := n.say(in)
+			in := strings.Replace(strings.Replace(fullRequest, "r1", id, 1), "HTTP/1.1", version, 1)
+			_, r := n.send(in)
 			res, err := http.ReadResponse(r, nil)
 			if err != nil {
-				t.Fatal(how, version, err)
+				t.Fatal(id, version, err)
 			}
 			body, err := io.ReadAll(res.Body)
-			if how == "cut" {
+			if id == "cut" {
 				if err == nil {
-					t.Errorf("cut off %s: the caller can't tell", version)
+					t.Errorf("cut off %s: the client cannot detect it", version)
 				}
-			} else if err != nil || !bytes.Equal(body, answerTo(how)) {
-				t.Errorf("%s %s: %d bytes of %d, %v", how, version, len(body), len(large), err)
+			} else if err != nil || !bytes.Equal(body, expectedBody(id)) {
+				t.Errorf("%s %s: %d bytes of %d, %v", id, version, len(body), len(largeBody), err)
 			}
 			if res.Close != (version == "HTTP/1.0") {
-				t.Errorf("%s %s: closing %t", how, version, res.Close)
+				t.Errorf("%s %s: closing %t", id, version, res.Close)
 			}
 		}
 	}
 }
 
-// TestMemoryIsBounded guards against what a next hop sends faster than callers read: all of it together
-// is far over the limit, and none of the callers reads before all are being answered.
+// TestMemoryIsBounded covers servers that send faster than clients read: the answers together far exceed
+// the memory limit, and no client reads on before all answers have started.
 func TestMemoryIsBounded(t *testing.T) {
-	const many, each = 16, 16 << 20
-	text, err := os.ReadFile(example)
+	const clientCount, bodySize = 16, 16 << 20
+	text, err := os.ReadFile(exampleConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,22 +203,22 @@
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n := startWith(t, discovery(t, album(t, func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Content-Length", strconv.Itoa(each))
-		for sent := 0; sent < each; sent += 1 << 20 {
-			w.Write(large[:1<<20])
+	n := startWithConfig(t, startDiscovery(t, startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Content-Length", strconv.Itoa(bodySize))
+		for sent := 0; sent < bodySize; sent += 1 << 20 {
+			w.Write(largeBody[:1<<20])
 		}
 	})), config)
-	var all []*bufio.Reader
-	for i := range many {
-		_, r := n.say(strings.Replace(whole, "r1", fmt.Sprint("m", i), 1))
-		all = append(all, r)
+	var readers []*bufio.Reader
+	for i := range clientCount {
+		_, r := n.send(strings.Replace(fullRequest, "r1", fmt.Sprint("m", i), 1))
+		readers = append(readers, r)
 		if _, err := r.Peek(1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var wait sync.WaitGroup
-	for _, r := range all {
+	for _, r := range readers {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -224,8 +227,8 @@
 				t.Error(err)
 				return
 			}
-			if got, err := io.Copy(io.Discard, res.Body); got != each {
-				t.Errorf("%d bytes of %d, %v", got, each, err)
+			if got, err := io.Copy(io.Discard, res.Body); got != bodySize {
+				t.Errorf("%d bytes of %d, %v", got, bodySize, err)
 			}
 		}()
 	}
@@ -237,14 +240,14 @@
 	_, after, _ := strings.Cut(string(status), "VmHWM:")
 	kb, err := strconv.Atoi(strings.Fields(after)[0])
 	if err != nil || kb > 64<<10 {
-		t.Errorf("%d kB at the most, %v, for %d MB", kb, err, many*each>>20)
+		t.Errorf("peak memory %d kB, %v, for %d MB", kb, err, clientCount*bodySize>>20)
 	}
-	t.Logf("%d kB at the most", kb)
+	t.Logf("peak memory %d kB", kb)
 }
 
-// TestSmallAnswersAfterLargeOnes covers a leg that has left the library: what it brings next, in any
-// framing, is read as ever, and its end is the end of an answer that says so.
-func TestSmallAnswersAfterLargeOnes(t *testing.T) {
+// TestSmallAnswersAfterLargeAnswers covers a server connection that was detached from the HTTP library for
+// a large answer: later answers of any framing are still parsed, also one that ends with the connection.
+func TestSmallAnswersAfterLargeAnswers(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -259,7 +262,7 @@
 			go func() {
 				defer conn.Close()
 				r := bufio.NewReader(conn)
-				for _, answer := range []string{"Content-Length: 90000\r\n\r\n" + string(large[:90000]),
+				for _, answer := range []string{"Content-Length: 90000\r\n\r\n" + string(largeBody[:90000]),
 					"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "\r\ntill the end"} {
 					req, err := http.ReadRequest(r)
 					if err != nil {
@@ -271,32 +274,32 @@
 			}()
 		}
 	}()
-	n := start(t, discovery(t, ln.Addr().String()))
-	_, r := n.say(whole)
-	n.hear(r)
+	n := startProxy(t, startDiscovery(t, ln.Addr().String()))
+	_, r := n.send(fullRequest)
+	n.readResponse(r)
 	for i, want := range []string{"abc", "till the end"} {
-		_, r := n.say(whole)
-		if res, body := n.hear(r); res.StatusCode != 200 || body != want {
+		_, r := n.send(fullRequest)
+		if res, body := n.readResponse(r); res.StatusCode != 200 || body != want {
 			t.Errorf("answer %d: got %d %.80q, want %q", i, res.StatusCode, body, want)
 		}
 	}
 }
 
-// TestSlowAnswerIsNotHeldBack covers an answer of unknown length that comes slowly: its first bytes
-// reach the caller while the album server still owes the rest.
-func TestSlowAnswerIsNotHeldBack(t *testing.T) {
-	read := make(chan struct{})
-	n := start(t, discovery(t, album(t, func(w http.ResponseWriter, r *http.Request) {
+// TestSlowAnswerIsNotBuffered covers a slow answer of unknown length: its first bytes reach the client
+// before the server has sent the rest.
+func TestSlowAnswerIsNotBuffered(t *testing.T) {
+	firstRead := make(chan struct{})
+	n := startProxy(t, startDiscovery(t, startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, "first")
 		w.(http.Flusher).Flush()
 		select {
-		case <-read:
+		case <-firstRead:
 		case <-r.Context().Done():
 		}
 		io.WriteString(w, "last")
 	})))
-	for range 3 { // on a leg of the library's, then on the same, which was detached
-		_, r := n.say(whole)
+	for range 3 { // first on a connection of the HTTP library, then on the same one, detached
+		_, r := n.send(fullRequest)
 		res, err := http.ReadResponse(r, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -305,7 +308,7 @@
 		if _, err := io.ReadFull(res.Body, first); err != nil || string(first) != "first" {
 			t.Fatalf("got %q, %v, %s", first, err, res.Status)
 		}
-		read <- struct{}{}
+		firstRead <- struct{}{}
 		if rest, err := io.ReadAll(res.Body); err != nil || string(rest) != "last" {
 			t.Errorf("then %q, %v", rest, err)
 		}
--- a/cmd/lilacglade/log_test.go
+++ b/cmd/lilacglade/log_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestRefusalIsLogged covers what operators are told of a request that gets no server's answer.
-func TestRefusalIsLogged(t *testing.T) {
-	for want, answer := range map[string]http.HandlerFunc{
+// TestFailedRequestIsLogged covers the log line for a request that no server answered successfully.
+func TestFailedRequestIsLogged(t *testing.T) {
+	for pattern, answer := range map[string]http.HandlerFunc{
 		`request "r1" is answered "broken" after .*: 1 attempts, last result error \(0 more`: func(
 			w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(500)
@@ -23,40 +23,40 @@
 			w.WriteHeader(503)
 		},
 	} {
-		n := start(t, discovery(t, album(t, answer)))
-		_, r := n.say(whole)
-		n.hear(r)
-		line := regexp.MustCompile(want)
-		n.until(want, func() bool { return line.MatchString(n.log.String()) })
+		n := startProxy(t, startDiscovery(t, startServer(t, answer)))
+		_, r := n.send(fullRequest)
+		n.readResponse(r)
+		line := regexp.MustCompile(pattern)
+		n.waitFor(pattern, func() bool { return line.MatchString(n.log.String()) })
 	}
 }
 
-// TestLogReaderThatHasGone guards against a program that ends with the one that reads its log.
-func TestLogReaderThatHasGone(t *testing.T) {
+// TestClosedLogPipe covers a log reader that exits: SIGPIPE would otherwise end the proxy.
+func TestClosedLogPipe(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(binary, "serve", "--config", example)
-	n := startBy(t, discovery(t, album(t, echo)), cmd)
-	n.until("it serves", func() bool { return n.ready() == 200 })
+	cmd := exec.Command(binary, "serve", "--config", exampleConfig)
+	n := startCommand(t, startDiscovery(t, startServer(t, echo)), cmd)
+	n.waitFor("it serves", func() bool { return n.healthStatus() == 200 })
 	_ = cmd.Process.Kill()
 	_, _ = cmd.Process.Wait()
 
-	again := exec.Command(binary, "serve", "--config", example)
-	again.Env, again.Stderr = cmd.Env, w
-	if err := again.Start(); err != nil {
+	restarted := exec.Command(binary, "serve", "--config", exampleConfig)
+	restarted.Env, restarted.Stderr = cmd.Env, w
+	if err := restarted.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = again.Process.Kill(); _ = again.Wait() })
+	t.Cleanup(func() { _ = restarted.Process.Kill(); _ = restarted.Wait() })
 	w.Close()
-	n.until("it serves again", func() bool { return n.ready() == 200 })
+	n.waitFor("it serves again", func() bool { return n.healthStatus() == 200 })
 	r.Close()
-	for range 3 { // each of them is logged
-		if err := again.Process.Signal(syscall.SIGHUP); err != nil {
+	for range 3 { // each reload is logged
+		if err := restarted.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	n.until("it still serves", func() bool { return n.ready() == 200 })
+	n.waitFor("it still serves", func() bool { return n.healthStatus() == 200 })
 }
--- a/cmd/lilacglade/main.go
+++ b/cmd/lilacglade/main.go
@@ -1,4 +1,5 @@
-// Command lilacglade is the proxy: its command line.
+// Command lilacglade runs the proxy, checks its configuration, and sends maintenance commands to a
+// running proxy.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	"lilacglade/internal/transport"
 )
 
-// version is the release; a build may set another with -ldflags "-X main.version=...".
+// version is the release. A build can override it with -ldflags "-X main.version=...".
 var version = "0.1.0"
 
 const usage = `usage: lilacglade [serve|check|version|work ...] [flags]
@@ -41,9 +42,11 @@
 	}
 }
 
+// run parses the command line and executes one command; out receives its output.
 func run(args []string, out io.Writer) error {
 	flags := pflag.NewFlagSet("lilacglade", pflag.ContinueOnError)
-	config := flags.StringP("config", "c", "", "configuration file (default: the one that NODE_CONFIG names)")
+	configFile := flags.StringP("config", "c", "",
+		"configuration file (default: the one that NODE_CONFIG names)")
 	peersFile := flags.String("peers", os.Getenv("NODE_PEERS"), "file of the proxies that this one may talk to")
 	trace := flags.Bool("trace", false, "log each step of each request and connection (costs processor time)")
 	flags.SetInterspersed(len(args) == 0 || args[0] != "work")
@@ -56,7 +59,7 @@
 		command = flags.Arg(0)
 	}
 	if command == "work" {
-		return work(flags.Args()[1:], out)
+		return runWork(flags.Args()[1:], out)
 	}
 	if flags.NArg() > 1 {
 		return fmt.Errorf("%s: unexpected argument %q", command, flags.Arg(1))
@@ -70,13 +73,13 @@
 		return fmt.Errorf("%q: no such command; see --help", command)
 	}
 	getenv := func(key string) string {
-		if key == "NODE_CONFIG" && *config != "" {
-			return *config
+		if key == "NODE_CONFIG" && *configFile != "" {
+			return *configFile
 		}
 		return os.Getenv(key)
 	}
-	hups := make(chan os.Signal, 1) // from here on SIGHUP doesn't end the program
-	signal.Notify(hups, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1) // from here on, SIGHUP does not end the program
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	node, err := settings.Load(getenv)
 	if err != nil {
 		return err
@@ -93,24 +96,25 @@
 		fmt.Fprintf(out, "%s can be served on %s\n", node.Name, node.Listen)
 		return nil
 	}
-	signal.Ignore(syscall.SIGPIPE) // a reader of the log that has gone must not end the program
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the program
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if *trace {
 		options.Trace = func(line string) { log.Print(line) }
 	}
-	return transport.ServeWithOptions(ctx, node, reloads(hups, getenv, node), options)
+	return transport.ServeWithOptions(ctx, node, reloads(reloadSignals, getenv, node), options)
 }
 
-// reloads reads the configuration again at each SIGHUP. One that can't be served changes nothing.
-func reloads(hups <-chan os.Signal, getenv func(string) string,
-	inForce settings.Node) <-chan transport.Reload {
+// reloads reads the configuration again at each SIGHUP and sends the result. An invalid configuration
+// is reported as an error and leaves the current one unchanged.
+func reloads(reloadSignals <-chan os.Signal, getenv func(string) string,
+	current settings.Node) <-chan transport.Reload {
 	out := make(chan transport.Reload)
 	go func() {
-		for range hups {
-			node, err := settings.Reload(getenv, inForce)
+		for range reloadSignals {
+			node, err := settings.Reload(getenv, current)
 			if err == nil {
-				inForce = node
+				current = node
 			}
 			out <- transport.Reload{Node: node, Err: err}
 		}
--- a/cmd/lilacglade/work.go
+++ b/cmd/lilacglade/work.go
@@ -35,15 +35,15 @@
 flags:
 `
 
-// workFor is how long an answer to a call is waited for.
-const workFor = 8 * time.Second
+// workTimeout limits dialing the proxy, and then the exchange of the call and its answer.
+const workTimeout = 8 * time.Second
 
-// work makes an operators' call on a running proxy.
-func work(args []string, out io.Writer) error {
+// runWork sends a maintenance command to the admin address of a running proxy and prints the answer.
+func runWork(args []string, out io.Writer) error {
 	flags := pflag.NewFlagSet("lilacglade work", pflag.ContinueOnError)
 	admin := flags.String("admin", os.Getenv("NODE_ADMIN"), "where the proxy answers operators")
 	id := flags.String("id", "", "id of the call (default: a new one, which is printed)")
-	why := flags.String("why", "", "a reason, for the others")
+	reason := flags.String("why", "", "a reason, for the others")
 	flags.Usage = func() { fmt.Fprint(out, workUsage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
 		return err
@@ -52,39 +52,39 @@
 		flags.Usage()
 		return nil
 	}
-	a := peers.Action{ID: *id, Do: flags.Arg(0), Why: *why}
+	action := peers.Action{ID: *id, Do: flags.Arg(0), Why: *reason}
 	switch {
-	case a.Do == "status" && flags.NArg() == 1:
+	case action.Do == "status" && flags.NArg() == 1:
 	case flags.NArg() != 2:
-		return fmt.Errorf("work %s: want one name; see work help", a.Do)
-	case a.Do == "submit":
+		return fmt.Errorf("work %s: want one name; see work help", action.Do)
+	case action.Do == "submit":
 		order, err := peers.ReadOrder(flags.Arg(1))
 		if err != nil {
 			return err
 		}
-		a.Order = &order
+		action.Order = &order
 	default:
-		a.Name = flags.Arg(1)
+		action.Name = flags.Arg(1)
 	}
 	if *admin == "" {
 		return errors.New("work: --admin or NODE_ADMIN: not set")
 	}
-	if a.ID == "" {
-		a.ID = fmt.Sprintf("%x", rand.Uint64())
-		if a.Do != "status" {
-			fmt.Fprintf(out, "id %s\n", a.ID)
+	if action.ID == "" {
+		action.ID = fmt.Sprintf("%x", rand.Uint64())
+		if action.Do != "status" {
+			fmt.Fprintf(out, "id %s\n", action.ID)
 		}
 	}
-	line, err := json.Marshal(a)
+	line, err := json.Marshal(action)
 	if err != nil {
 		return err
 	}
-	conn, err := net.DialTimeout("tcp", *admin, workFor)
+	conn, err := net.DialTimeout("tcp", *admin, workTimeout)
 	if err != nil {
 		return fmt.Errorf("work: %w", err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(workFor)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(workTimeout)); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintf(conn, "WORK %s\n", line); err != nil {
@@ -96,7 +96,7 @@
 	case strings.HasPrefix(answer, "-ERR "):
 		return errors.New(strings.TrimSpace(strings.TrimPrefix(answer, "-ERR ")))
 	case !strings.HasPrefix(answer, "+OK"):
-		return fmt.Errorf("work: no whole answer (%v); ask again with --id %s", err, a.ID)
+		return fmt.Errorf("work: no whole answer (%v); ask again with --id %s", err, action.ID)
 	}
 	answer = strings.TrimPrefix(strings.TrimPrefix(answer, "+OK"), "\n")
 	fmt.Fprint(out, strings.TrimSuffix(answer, ".\n"))
