--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -12,12 +12,13 @@
 	"lilacglade/internal/settings"
 )
 
-// Host runs many instances, each with a Balancer of its own.
+// Host runs a number of simulated proxy instances, each with its own Balancer, and answers the
+// simulator's batches of events with the Balancers' actions.
 type Host struct {
-	instances map[uint16]*lg.Balancer
-	tables    map[uint16][]lg.Server
-	out       reply
-	context   int // instance that the reply's last Context names, -1 for none
+	instances     map[uint16]*lg.Balancer
+	tables        map[uint16][]lg.Server
+	reply         reply
+	replyInstance int // instance named by the last Context action of the reply, -1 for none
 }
 
 // NewHost returns a Host without instances.
@@ -25,86 +26,90 @@
 	return &Host{instances: map[uint16]*lg.Balancer{}, tables: map[uint16][]lg.Server{}}
 }
 
-// Serve answers the batches of r on w until the input ends. It returns nil at a clean end
-// and an error that names what was wrong and where on a malformed frame.
+// Serve reads batches from r and writes a reply to each to w until the input ends. It returns nil
+// if the input ends between two batches. The error for a malformed frame names the batch, the
+// record and the fault.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<16)
-	var buf []byte
-	for n := 0; ; n++ {
-		b, grown, err := readBatch(in, buf)
-		buf = grown
+	var buffer []byte
+	for batchIndex := 0; ; batchIndex++ {
+		b, grownBuffer, err := readBatch(in, buffer)
+		buffer = grownBuffer
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
+			return fmt.Errorf("batch %d: %w", batchIndex, err)
 		}
-		frame, err := h.answer(b)
+		frame, err := h.handleBatch(b)
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
+			return fmt.Errorf("batch %d: %w", batchIndex, err)
 		}
 		if _, err := w.Write(frame); err != nil {
-			return fmt.Errorf("batch %d: writing the reply: %w", n, err)
+			return fmt.Errorf("batch %d: writing the reply: %w", batchIndex, err)
 		}
 	}
 }
 
-// answer handles a batch's records in order. What it returns is valid until the next call.
-func (h *Host) answer(b *batch) ([]byte, error) {
-	h.out.reset()
-	h.context = -1
-	inst := -1
+// handleBatch handles the records of a batch in order and returns the reply's frame, which is valid
+// until the next call.
+func (h *Host) handleBatch(b *batch) ([]byte, error) {
+	h.reply.reset()
+	h.replyInstance = -1
+	instance := -1
 	for i := range b.count {
 		rec := b.record(i)
 		switch code := rec[0]; {
 		case code == evInstance:
-			inst = int(order.Uint16(rec[1:]))
+			instance = int(order.Uint16(rec[1:]))
 			continue
 		case code == evTable:
-			if err := h.table(b, rec); err != nil {
+			if err := h.storeTable(b, rec); err != nil {
 				return nil, fmt.Errorf("record %d: Table: %w", i, err)
 			}
 			continue
 		case code > evClientLeft:
 			return nil, fmt.Errorf("record %d: unknown event code %d", i, code)
 		}
-		if inst < 0 {
+		if instance < 0 {
 			return nil, fmt.Errorf("record %d: event %d before any Instance", i, rec[0])
 		}
-		if err := h.event(b, uint16(inst), rec); err != nil {
-			return nil, fmt.Errorf("record %d: instance %d: %w", i, inst, err)
+		if err := h.handleEvent(b, uint16(instance), rec); err != nil {
+			return nil, fmt.Errorf("record %d: instance %d: %w", i, instance, err)
 		}
 	}
-	return h.out.bytes(), nil
+	return h.reply.frame(), nil
 }
 
-func (h *Host) table(b *batch, rec []byte) error {
-	raw, err := b.piece(rec, 3, entrySize)
+// storeTable decodes a table of servers and keeps it for later Membership events.
+func (h *Host) storeTable(b *batch, rec []byte) error {
+	raw, err := b.tailData(rec, 3, entrySize)
 	if err != nil {
 		return err
 	}
 	page := order.Uint16(rec[1:])
 	if page > 15 {
-		return fmt.Errorf("page %d, the last is 15", page)
+		return fmt.Errorf("table %d does not exist, the last is 15", page)
 	}
-	list, err := entries(raw)
-	h.tables[page] = list
+	servers, err := decodeTable(raw)
+	h.tables[page] = servers
 	return err
 }
 
-// event decodes one record for an instance and acts on it.
-func (h *Host) event(b *batch, inst uint16, rec []byte) error {
+// handleEvent decodes one record for an instance. It creates or removes the instance, or passes the
+// event to the instance's Balancer.
+func (h *Host) handleEvent(b *batch, inst uint16, rec []byte) error {
 	switch rec[0] {
 	case evCreate:
-		raw, err := b.piece(rec, 9, 1)
+		raw, err := b.tailData(rec, 9, 1)
 		if err != nil {
 			return fmt.Errorf("Create: %w", err)
 		}
-		set, err := settings.Decode(raw)
+		decoded, err := settings.Decode(raw)
 		if err != nil {
 			return fmt.Errorf("Create: %w", err)
 		}
-		h.instances[inst], err = lg.New(set.Settings, order.Uint64(rec[1:]))
+		h.instances[inst], err = lg.New(decoded.Settings, order.Uint64(rec[1:]))
 		if err != nil {
 			return fmt.Errorf("Create: %w", err)
 		}
@@ -116,41 +121,44 @@
 		delete(h.instances, inst)
 		return nil
 	}
-	bal := h.instances[inst]
-	if bal == nil {
+	balancer := h.instances[inst]
+	if balancer == nil {
 		return fmt.Errorf("event %d: no such instance", rec[0])
 	}
-	ev, err := h.decode(b, rec)
+	ev, err := h.decodeEvent(b, rec)
 	if err != nil {
 		return err
 	}
-	h.act(inst, bal, b.now, ev)
+	h.runBalancer(inst, balancer, b.now, ev)
 	return nil
 }
 
-// act hands the event over and encodes the actions; a panic becomes GiveIn.
-func (h *Host) act(inst uint16, bal *lg.Balancer, now time.Duration, ev lg.Event) {
+// runBalancer passes an event to an instance's Balancer and encodes the resulting actions. A panic of
+// the Balancer is reported as a GiveIn action, with the panic's value as its text.
+func (h *Host) runBalancer(inst uint16, balancer *lg.Balancer, now time.Duration, ev lg.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.enter(inst)
-			h.out.text(acGiveIn, fmt.Sprint(p))
+			h.selectInstance(inst)
+			h.reply.addText(acGiveIn, fmt.Sprint(p))
 		}
 	}()
-	for _, a := range bal.Handle(now, ev) {
-		h.enter(inst)
-		h.out.action(a)
+	for _, a := range balancer.Handle(now, ev) {
+		h.selectInstance(inst)
+		h.reply.addAction(a)
 	}
 }
 
-// enter makes inst the instance of the actions that follow.
-func (h *Host) enter(inst uint16) {
-	if h.context != int(inst) {
-		order.PutUint16(h.out.add(acContext)[1:], inst)
-		h.context = int(inst)
+// selectInstance makes the actions that follow belong to inst: it adds a Context action unless the
+// last one already names inst.
+func (h *Host) selectInstance(inst uint16) {
+	if h.replyInstance != int(inst) {
+		order.PutUint16(h.reply.addRecord(acContext)[1:], inst)
+		h.replyInstance = int(inst)
 	}
 }
 
-func (h *Host) decode(b *batch, rec []byte) (lg.Event, error) {
+// decodeEvent decodes a record into an event of the Balancer.
+func (h *Host) decodeEvent(b *batch, rec []byte) (lg.Event, error) {
 	switch rec[0] {
 	case evReturned:
 		res, err := resultAt(rec, 5)
@@ -162,7 +170,7 @@
 			return nil, fmt.Errorf("Returned: %w", err)
 		}
 		return lg.Outcome{Request: lg.RequestID(order.Uint32(rec[1:])), Result: res,
-			Attempt: int(order.Uint16(rec[7:])), Server: serverID(rec, 9), Closed: rec[15] != 0,
+			Attempt: int(order.Uint16(rec[7:])), Server: serverIDAt(rec, 9), Closed: rec[15] != 0,
 			Latency: millisAt(rec, 16), Load: load}, nil
 	case evSampled:
 		res, err := resultAt(rec, 15)
@@ -173,7 +181,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("Sampled: %w", err)
 		}
-		return lg.ProbeResult{Server: serverID(rec, 9), Result: res, Latency: millisAt(rec, 1), Load: load}, nil
+		return lg.ProbeResult{Server: serverIDAt(rec, 9), Result: res, Latency: millisAt(rec, 1), Load: load}, nil
 	case evFired:
 		return lg.Timer{Token: order.Uint32(rec[1:])}, nil
 	case evMembership:
@@ -192,7 +200,7 @@
 		}
 		return l, nil
 	case evPeerData:
-		body, err := b.piece(rec, 3, 1)
+		body, err := b.tailData(rec, 3, 1)
 		if err != nil {
 			return nil, fmt.Errorf("PeerData: %w", err)
 		}
@@ -208,8 +216,8 @@
 		return r, nil
 	case evHeadReceived:
 		return lg.AnswerStarted{Request: lg.RequestID(order.Uint32(rec[1:])),
-			Attempt: int(order.Uint16(rec[5:])), Server: serverID(rec, 7)}, nil
-	default: // evClientLeft, the last code that answer lets through
+			Attempt: int(order.Uint16(rec[5:])), Server: serverIDAt(rec, 7)}, nil
+	default: // evClientLeft, the highest code that handleBatch accepts
 		return lg.Departed{Request: lg.RequestID(order.Uint32(rec[1:]))}, nil
 	}
 }
