--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts balancer instances behind the simulator's wire on standard
-// input and output.
+// Command wirehost runs balancer instances for the simulator. It reads batches of events from
+// standard input and writes replies to standard output, in the simulator's binary protocol.
 package main
 
 import (
