--- a/internal/checks/checks_test.go
+++ b/internal/checks/checks_test.go
@@ -1,4 +1,5 @@
-// Package checks reports Go files that gofmt would change and lines longer than 110 characters.
+// Package checks tests rules for the sources that the compiler does not enforce: the format of Go
+// files, the length of their lines, the use of the wall clock, and the list of known failing tests.
 package checks
 
 import (
@@ -15,28 +16,29 @@
 	"unicode/utf8"
 )
 
-const maxLength = 110
+// maxLineLength is the maximum length of a line of Go source, in characters.
+const maxLineLength = 110
 
 // TestSources checks the format and the line lengths of every Go file.
 func TestSources(t *testing.T) {
-	faults, err := check("../..")
+	problems, err := check("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range faults {
+	for _, f := range problems {
 		t.Error(f)
 	}
 }
 
-// TestKnownRed covers the list of tests that CI passes over: by exact name, three at most, none that is not
-// there.
+// TestKnownRed checks how CI reads the list of known failing tests that it skips. The list must name at
+// most three tests, each by its exact name, and each must exist.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	stub := "#!/bin/sh\nprintf 'TestA\\nTestB\\nTestC\\nTestD\\nok x\\n'\n" // what go test -list prints
+	stub := "#!/bin/sh\nprintf 'TestA\\nTestB\\nTestC\\nTestD\\nok x\\n'\n" // the output of go test -list
 	if err := os.WriteFile(filepath.Join(dir, "go"), []byte(stub), 0o755); err != nil {
 		t.Fatal(err)
 	}
@@ -66,12 +68,13 @@
 	}
 }
 
-// wallClock are expressions that read the wall clock, or have a library compare a moment with it.
+// wallClock matches expressions that read the wall clock or make a library compare a point in time with
+// it.
 var wallClock = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|time\.Unix(Milli|Micro)?\(|\.Round\(0\)|` +
 	`\.Set(Read|Write)?Deadline\(`)
 
-// wallClockFiles are the files of the program that may have some, and why none of them measures a span by
-// it.
+// wallClockFiles lists the files of the program that may contain such expressions, each with the reason
+// why it does not measure a duration by the wall clock.
 var wallClockFiles = map[string]string{
 	"internal/transport/observe.go":  "logs that the wall clock was stepped",
 	"internal/transport/detached.go": "deadlines of the standard library's connections, by its monotonic clock",
@@ -80,13 +83,14 @@
 	"internal/peers/link.go":         "the same",
 	"cmd/lilacglade/work.go":         "the same",
 
-	"internal/serverlist/starts.go": "the epoch of start times, which discovery tells in Unix time",
-	"internal/consensus/disk.go":    "names of files that are set aside",
+	"internal/serverlist/starts.go": "the epoch of start times, which discovery reports in Unix time",
+	"internal/consensus/disk.go":    "names under which damaged and retired files are kept",
 }
 
-// TestNoSpanByTheWallClock guards against what broke on 2026-12-02 (docs/incidents): a span of time that a
-// step of the wall clock moves. The sockets, reducer and module know moments on the monotonic clock alone.
-func TestNoSpanByTheWallClock(t *testing.T) {
+// TestNoDurationFromWallClock prevents a repetition of the incident of 2026-12-02 (docs/incidents): a step
+// of the wall clock changed the length of a duration that was measured by it. The sockets, the reducer and
+// the module use points in time of the monotonic clock only.
+func TestNoDurationFromWallClock(t *testing.T) {
 	seen := map[string]bool{}
 	for _, dir := range []string{"internal", "cmd/lilacglade"} {
 		err := filepath.WalkDir(filepath.Join("../..", dir), func(path string, d fs.DirEntry, err error) error {
@@ -117,18 +121,19 @@
 	}
 	for name := range wallClockFiles {
 		if !seen[name] {
-			t.Errorf("%s reads no wall clock any more: it needs no exception", name)
+			t.Errorf("%s no longer reads the wall clock: remove its exception", name)
 		}
 	}
 }
 
-// testOnly are the packages that are in no release build.
+// testOnly lists the packages that are not part of a release build.
 var testOnly = map[string]bool{"faulttest": true, "soak": true, "faultlayer": true, "lab": true,
 	"emulator": true, "maintenancesim": true, "baselines": true, "checks": true}
 
-// check reads the Go files below root and returns what is wrong with them.
+// check returns a message for each Go file below root that is not formatted, and for each line of one
+// that is too long. It skips hidden directories and the journal.
 func check(root string) ([]string, error) {
-	var faults []string
+	var problems []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -148,14 +153,14 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 		if !bytes.Equal(src, want) {
-			faults = append(faults, path+": not as gofmt writes it")
+			problems = append(problems, path+": not formatted with gofmt")
 		}
 		for i, line := range strings.Split(string(src), "\n") {
-			if utf8.RuneCountInString(line) > maxLength {
-				faults = append(faults, fmt.Sprintf("%s:%d: longer than %d characters", path, i+1, maxLength))
+			if utf8.RuneCountInString(line) > maxLineLength {
+				problems = append(problems, fmt.Sprintf("%s:%d: longer than %d characters", path, i+1, maxLineLength))
 			}
 		}
 		return nil
 	})
-	return faults, err
+	return problems, err
 }
