--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy plays discovery and three album servers on this machine, so that the proxy can
-// be tried with examples/config.json. The album servers answer with what they were sent.
+// Command toy runs a stand-in for discovery and three servers on the local host, to try the proxy
+// with examples/config.json. Each response names the host, the length of the request's body in bytes
+// and the request's ID.
 package main
 
 import (
@@ -13,24 +14,24 @@
 )
 
 const (
-	discovery = "127.0.0.1:8500"
-	firstPort = 9101
-	servers   = 3
+	discoveryAddr = "127.0.0.1:8500"
+	firstPort     = 9101
+	serverCount   = 3
 )
 
 func main() {
 	var list []string
-	for i := range servers {
+	for i := range serverCount {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+i)
 		list = append(list, fmt.Sprintf(`{"instanceId":"toy-%d","hostPort":"%s","zone":"harbor-st",`+
 			`"machineType":"std-2","cell":0,"lifecycle":"ready","weight":1.0,"startedAtMs":0}`, i, addr))
-		go serve(addr, album())
+		go serve(addr, serverHandler())
 	}
-	whole := `{"generation":1,"reset":true,"instances":[` + strings.Join(list, ",") + `]}`
-	log.Printf("discovery on %s, %d album servers from port %d on", discovery, servers, firstPort)
-	serve(discovery, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	fullList := `{"generation":1,"reset":true,"instances":[` + strings.Join(list, ",") + `]}`
+	log.Printf("discovery on %s, %d servers on ports from %d", discoveryAddr, serverCount, firstPort)
+	serve(discoveryAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") == "" {
-			fmt.Fprint(w, whole)
+			fmt.Fprint(w, fullList)
 			return
 		}
 		wait, err := time.ParseDuration(r.URL.Query().Get("timeout_ms") + "ms")
@@ -38,7 +39,7 @@
 			http.Error(w, "timeout_ms", http.StatusBadRequest)
 			return
 		}
-		select { // nothing ever changes here
+		select { // the list never changes: answer without changes when the wait is over
 		case <-time.After(wait):
 			fmt.Fprint(w, `{"generation":1,"reset":false,"instances":[]}`)
 		case <-r.Context().Done():
@@ -46,22 +47,25 @@
 	}))
 }
 
+// serve serves HTTP on addr with h. It ends the process if it cannot listen.
 func serve(addr string, h http.Handler) {
 	log.Fatal(http.ListenAndServe(addr, h))
 }
 
-// album is one album server.
-func album() http.Handler {
+// serverHandler returns the handler of one server. It reports its requests in flight and the latency in
+// milliseconds in the header Server-Load.
+func serverHandler() http.Handler {
 	var inFlight atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := inFlight.Add(1)
 		defer inFlight.Add(-1)
-		begun := time.Now()
+		started := time.Now()
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		w.Header().Set("Server-Load", fmt.Sprintf("inflight=%d,latency_ms=%d", n, time.Since(begun).Milliseconds()))
+		w.Header().Set("Server-Load", fmt.Sprintf("inflight=%d,latency_ms=%d",
+			n, time.Since(started).Milliseconds()))
 		fmt.Fprintf(w, "%s: %d bytes for request %s\n", r.Host, len(body), r.Header.Get("Request-Id"))
 	})
 }
