--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -12,11 +12,14 @@
 	"lilacglade/internal/settings"
 )
 
+// maxTableNumber is the highest number of a table of servers.
+const maxTableNumber = 15
+
 // Host runs a number of simulated proxy instances, each with its own Balancer, and answers the
 // simulator's batches of events with the Balancers' actions.
 type Host struct {
-	instances     map[uint16]*lg.Balancer
-	tables        map[uint16][]lg.Server
+	instances     map[uint16]*lg.Balancer // by instance number
+	tables        map[uint16][]lg.Server  // by table number
 	reply         reply
 	replyInstance int // instance named by the last Context action of the reply, -1 for none
 }
@@ -87,12 +90,12 @@
 	if err != nil {
 		return err
 	}
-	page := order.Uint16(rec[1:])
-	if page > 15 {
-		return fmt.Errorf("table %d does not exist, the last is 15", page)
+	tableNumber := order.Uint16(rec[1:])
+	if tableNumber > maxTableNumber {
+		return fmt.Errorf("table %d does not exist, the last is %d", tableNumber, maxTableNumber)
 	}
 	servers, err := decodeTable(raw)
-	h.tables[page] = servers
+	h.tables[tableNumber] = servers
 	return err
 }
 
@@ -191,10 +194,10 @@
 		}
 		l := lg.List{Kind: lg.ListKind(kind)}
 		if l.Kind != lg.ListFailed {
-			page := order.Uint16(rec[6:])
-			list, ok := h.tables[page]
+			tableNumber := order.Uint16(rec[6:])
+			list, ok := h.tables[tableNumber]
 			if !ok {
-				return nil, fmt.Errorf("Membership: no table %d", page)
+				return nil, fmt.Errorf("Membership: no table %d", tableNumber)
 			}
 			l.Servers = list
 		}
