--- a/internal/coordination/coordination.go
+++ b/internal/coordination/coordination.go
@@ -81,7 +81,7 @@
 	participant  participant
 	leadership   leadership
 	pendingCalls map[string]*pendingCall
-	inventory    map[string]maintenance.Seen // machines by ID, as discovery lists them
+	inventory    map[string]maintenance.MachineView // machines by ID, as discovery lists them
 	inventoryAt  time.Duration
 
 	// RejectedMessages counts messages that could not be decoded or were not meant for this proxy.
@@ -94,7 +94,7 @@
 		table: membership.New(cfg.ReplaceAfter), blankAt: map[string]time.Duration{},
 		pendingCalls: map[string]*pendingCall{}, bootConfirmed: map[string]bool{}}
 	c.participant = participant{sentAt: map[uint64]time.Duration{}, renewInterval: joinInterval}
-	c.cfg.Level = cmp.Or(cfg.Level, maintenance.LevelNow)
+	c.cfg.Level = cmp.Or(cfg.Level, maintenance.CurrentLevel)
 	if err := c.load(cfg.Saved, cfg.Note); err != nil {
 		return c, err
 	}
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -123,11 +123,11 @@
 // submitOrder submits an order for machine m0, so that it is named.
 func (b *testGroup) submitOrder(most int) {
 	for name := range b.coordinators {
-		b.step(name, Inventory{[]maintenance.Seen{{Machine: maintenance.Machine{ID: "m0"}, Ready: true},
+		b.step(name, Inventory{[]maintenance.MachineView{{Machine: maintenance.Machine{ID: "m0"}, Ready: true},
 			{Machine: maintenance.Machine{ID: "m1"}, Ready: true}}})
 	}
 	b.step("p0", CallReceived{1, Call{ID: "c",
-		Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, Most: most}}})
+		Spec: &maintenance.Spec{ID: "o", Machines: []string{"m0"}, MaxOut: most}}})
 }
 
 // TestLeaseCountsFromRequest covers a renewal whose answer arrives late. A lease that counted from the
@@ -183,7 +183,7 @@
 	b.submitOrder(1)
 	b.advance(3 * time.Second)
 	w := b.coordinators[leader].Maintenance().Active("m0")
-	if w == nil || w.Named == 0 || w.Step != maintenance.Waiting {
+	if w == nil || w.Announced == 0 || w.Step != maintenance.Waiting {
 		t.Fatalf("m0 is %+v while no reducer applies the restrictions", w)
 	}
 	for name, f := range b.restrictions {
@@ -263,7 +263,7 @@
 		b.start("p3")
 		b.cut = func(_, to string) bool { return to == "p3" }
 		b.advance(3 * time.Second)
-		taken := b.coordinators[leader].Maintenance().Parties[maintenance.Key("p3", 99)]
+		taken := b.coordinators[leader].Maintenance().Participants[maintenance.Key("p3", 99)]
 		if f := b.restrictions["p3"]; f.LeaseUntil != 1 || f.Index == 0 || taken == nil {
 			t.Fatalf("disabled check %d: restrictions %+v, or not added as a participant", disabled, f)
 		}
@@ -316,11 +316,11 @@
 			continue
 		}
 		// Restarted under a new identity.
-		b.set("p2", func(c *Config) { c.Incarnation, c.ID, c.Level = 99, 99, maintenance.LevelNow })
+		b.set("p2", func(c *Config) { c.Incarnation, c.ID, c.Level = 99, 99, maintenance.CurrentLevel })
 		b.start("p2")
 		b.advance(20 * time.Second)
 		for name, c := range b.coordinators {
-			if name != "p3" && c.Maintenance().Level != maintenance.LevelNow ||
+			if name != "p3" && c.Maintenance().Level != maintenance.CurrentLevel ||
 				b.restrictions[name].LeaseUntil <= b.now {
 				t.Errorf("%s is at level %d with a lease until %v", name, c.Maintenance().Level,
 					b.restrictions[name].LeaseUntil-b.now)
@@ -355,13 +355,13 @@
 	}
 	v := b.coordinators[leader].view()
 	m0, m1 := v.Machines["m0"], v.Machines["m1"]
-	if m0.Room != 9 || m1.Room != 11 || m1.Hot || v.Busy < 8 || v.Busy > 10.01 {
-		t.Errorf("capacity %v and %v, hot %t, in flight %v", m0.Room, m1.Room, m1.Hot, v.Busy)
+	if m0.Capacity != 9 || m1.Capacity != 11 || m1.HotKey || v.InFlight < 8 || v.InFlight > 10.01 {
+		t.Errorf("capacity %v and %v, hot %t, in flight %v", m0.Capacity, m1.Capacity, m1.HotKey, v.InFlight)
 	}
 	b.step("p3", Load{Hot: []string{"m1"}})
 	b.step("p4", Load{Hot: []string{"m1"}})
 	b.advance(2 * time.Second)
-	if !b.coordinators[leader].view().Machines["m1"].Hot {
+	if !b.coordinators[leader].view().Machines["m1"].HotKey {
 		t.Error("hot key reports of two proxies have no effect")
 	}
 }
--- a/internal/coordination/disk.go
+++ b/internal/coordination/disk.go
@@ -43,7 +43,7 @@
 	if restored.Maintenance == nil {
 		return errors.New("a snapshot without a state")
 	}
-	restored.Maintenance.Filled()
+	restored.Maintenance.InitMaps()
 	if restored.Maintenance.Level > c.cfg.Level {
 		return ErrProgramTooOld
 	}
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -26,7 +26,7 @@
 		Clear []maintenance.Mark
 	}
 	// Inventory is the current list of machines from discovery.
-	Inventory struct{ Machines []maintenance.Seen }
+	Inventory struct{ Machines []maintenance.MachineView }
 	// Load counts the requests since the last Load and those in flight at machines now, and reports what
 	// the proxy measured of machines.
 	Load struct {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -19,8 +19,8 @@
 	renewed         map[string]time.Duration // time of the last renewal of each participant
 	loads           map[string]*loadReport
 	joins           []maintenance.Command // participants that join or leave, to be proposed
-	knownNotes      []maintenance.Note
-	clearNotes      []maintenance.Note
+	knownNotes      []maintenance.Report
+	clearNotes      []maintenance.Report
 	nonce           uint64 // of the outstanding proposal; 0: none
 	proposedAt      time.Duration
 	waiters         []waiter // answered once a majority has confirmed the leadership
@@ -92,18 +92,18 @@
 	b := batch{Nonce: c.rng.Uint64() | 1}
 	b.Commands = append(b.Commands, l.joins...)
 	if n := min(len(l.knownNotes), maxNotes); n > 0 {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Know, Notes: l.knownNotes[:n]})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Acknowledge, Reports: l.knownNotes[:n]})
 	}
 	if n := min(len(l.clearNotes), maxNotes); n > 0 {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Notes: l.clearNotes[:n]})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Reports: l.clearNotes[:n]})
 	}
 	for _, a := range l.queuedCalls {
 		b.Commands = append(b.Commands, *a.call.Command)
 	}
 	if level := c.commonLevel(); level > max(maintenance.LevelFirst, c.replica.Maintenance.Level) {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Raise, Index: level})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.RaiseLevel, Index: level})
 	}
-	if next := c.replica.Maintenance.Next(c.view()); next.Kind != maintenance.Nothing {
+	if next := c.replica.Maintenance.Next(c.view()); next.Kind != maintenance.NoOp {
 		b.Commands = append(b.Commands, next)
 	}
 	if len(b.Commands) == 0 {
@@ -124,7 +124,7 @@
 // others, and their states would diverge.
 func (c *Coordinator) commonLevel() uint64 {
 	if c.cfg.Disabled == LevelWait {
-		return maintenance.LevelNow
+		return maintenance.CurrentLevel
 	}
 	if len(c.replica.Voters) < len(c.cfg.InitialVoters) || c.core.Changing() {
 		return maintenance.LevelFirst // the next voter may have a lower level
@@ -140,7 +140,7 @@
 			lowest = min(lowest, m.Level)
 		}
 	}
-	for _, p := range c.replica.Maintenance.Parties {
+	for _, p := range c.replica.Maintenance.Participants {
 		if !p.Gone {
 			level(p.Name, p.Inc, 0)
 		}
@@ -149,8 +149,8 @@
 		level(v.Name, 0, id)
 	}
 	for _, j := range c.leadership.joins {
-		if j.Party != nil {
-			level(j.Party.Name, j.Party.Inc, 0)
+		if j.Participant != nil {
+			level(j.Participant.Name, j.Participant.Inc, 0)
 		}
 	}
 	return lowest
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -45,7 +45,7 @@
 // largest number of proxies that there ever was, so that a leader's load is bounded and no leader assumes
 // a shorter duration than an earlier leader granted.
 func (c *Coordinator) leaseTimes() (duration, interval time.Duration) {
-	interval = max(minRenewInterval, time.Duration(c.replica.Maintenance.Crowd)*renewalSpacing)
+	interval = max(minRenewInterval, time.Duration(c.replica.Maintenance.MaxParticipants)*renewalSpacing)
 	return renewalsPerLease * interval, interval
 }
 
@@ -107,7 +107,7 @@
 // lease.
 func (c *Coordinator) admitRenewal(e *Envelope) bool {
 	r, work := e.Renew, c.replica.Maintenance
-	p := work.Parties[maintenance.Key(e.From, e.Incarnation)]
+	p := work.Participants[maintenance.Key(e.From, e.Incarnation)]
 	answer := func(l *Lease) {
 		l.Seq, l.Leader = r.Seq, c.cfg.Name
 		c.send(e.From, e.Addr, &Envelope{Lease: l})
@@ -139,23 +139,23 @@
 
 // joinCommand returns the command that adds the sender of a renewal as a participant.
 func (c *Coordinator) joinCommand(e *Envelope) maintenance.Command {
-	p := &maintenance.Party{Name: e.From, Inc: e.Incarnation, Addr: e.Addr, Grace: e.Renew.Grace,
+	p := &maintenance.Participant{Name: e.From, Inc: e.Incarnation, Addr: e.Addr, Grace: e.Renew.Grace,
 		ID: e.ID, Boot: e.Boot}
 	if e.Renew.ResumeIndex > 0 && c.replica.Maintenance.Level >= maintenance.LevelResume {
-		p.Resumed, p.Knows = true, e.Renew.ResumeIndex
+		p.Resumed, p.Acknowledged = true, e.Renew.ResumeIndex
 	}
-	return maintenance.Command{Kind: maintenance.Join, Party: p}
+	return maintenance.Command{Kind: maintenance.Join, Participant: p}
 }
 
 // queueKnown queues a note that a participant knows the state, if that is new for a machine under
 // maintenance.
 func (c *Coordinator) queueKnown(key string, knownIndex uint64) {
-	p := c.replica.Maintenance.Parties[key]
+	p := c.replica.Maintenance.Participants[key]
 	isNew := func(w *maintenance.Work) bool {
-		return !w.Step.Ended() && w.Named > p.Known() && w.Named <= knownIndex
+		return !w.Step.Ended() && w.Announced > p.KnownIndex() && w.Announced <= knownIndex
 	}
 	if slices.ContainsFunc(c.replica.Maintenance.Works, isNew) {
-		c.leadership.knownNotes = append(c.leadership.knownNotes, maintenance.Note{Party: key, Index: knownIndex})
+		c.leadership.knownNotes = append(c.leadership.knownNotes, maintenance.Report{Participant: key, Index: knownIndex})
 	}
 }
 
@@ -165,7 +165,7 @@
 		w := c.replica.Maintenance.Active(m.Machine)
 		if w != nil && w.Granted == m.Grant && !w.Clear[key] &&
 			(w.Step == maintenance.Granted || w.Step == maintenance.Draining) {
-			c.leadership.clearNotes = append(c.leadership.clearNotes, maintenance.Note{Party: key,
+			c.leadership.clearNotes = append(c.leadership.clearNotes, maintenance.Report{Participant: key,
 				Index: m.Grant, Machine: m.Machine})
 		}
 	}
@@ -174,8 +174,8 @@
 // queueJoinOrLeave queues the joining or leaving of a participant, once.
 func (c *Coordinator) queueJoinOrLeave(cmd maintenance.Command) {
 	same := func(o maintenance.Command) bool {
-		return o.Kind == cmd.Kind && (o.Party != nil && cmd.Party != nil && o.Party.Key() == cmd.Party.Key() ||
-			o.Party == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
+		return o.Kind == cmd.Kind && (o.Participant != nil && cmd.Participant != nil && o.Participant.Key() == cmd.Participant.Key() ||
+			o.Participant == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
 	}
 	if !slices.ContainsFunc(c.leadership.joins, same) {
 		c.leadership.joins = append(c.leadership.joins, cmd)
@@ -213,7 +213,7 @@
 // grantLease grants or renews a participant's lease.
 func (c *Coordinator) grantLease(r waiter) {
 	key := maintenance.Key(r.from, r.inc)
-	p := c.replica.Maintenance.Parties[key]
+	p := c.replica.Maintenance.Participants[key]
 	if p == nil || p.Gone {
 		return
 	}
@@ -250,8 +250,8 @@
 		return
 	}
 	c.leadership.pushedState = encoded
-	for _, key := range slices.Sorted(maps.Keys(work.Parties)) {
-		if p := work.Parties[key]; !p.Gone {
+	for _, key := range slices.Sorted(maps.Keys(work.Participants)) {
+		if p := work.Participants[key]; !p.Gone {
 			l := *l
 			c.send(p.Name, p.Addr, &Envelope{Lease: &l})
 		}
--- a/internal/coordination/log.go
+++ b/internal/coordination/log.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if slices.ContainsFunc(b.Commands, func(cmd maintenance.Command) bool {
-		return cmd.Kind == maintenance.Raise && cmd.Index > c.cfg.Level
+		return cmd.Kind == maintenance.RaiseLevel && cmd.Index > c.cfg.Level
 	}) {
 		c.abandonLog()
 		return
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -19,25 +19,25 @@
 	room := 0.0
 	for _, m := range v.Machines {
 		if m.Ready {
-			room += m.Room
+			room += m.Capacity
 		}
 	}
-	fmt.Fprintf(&b, "level %d busy %.3g of room for %.3g requests, %.2g refused\n", work.Level, v.Busy, room,
-		v.Refused)
-	for _, key := range slices.Sorted(maps.Keys(work.Parties)) {
-		p := work.Parties[key]
+	fmt.Fprintf(&b, "level %d busy %.3g of room for %.3g requests, %.2g refused\n", work.Level, v.InFlight, room,
+		v.ShedFraction)
+	for _, key := range slices.Sorted(maps.Keys(work.Participants)) {
+		p := work.Participants[key]
 		age := "never"
 		if at, ok := c.leadership.renewed[key]; ok {
 			age = (c.now - at).Round(TickEvery).String() + " ago"
 		}
-		fmt.Fprintf(&b, "proxy %s knows %d renewed %s", key, p.Known(), age)
+		fmt.Fprintf(&b, "proxy %s knows %d renewed %s", key, p.KnownIndex(), age)
 		if p.Gone {
 			b.WriteString(" gone")
 		}
 		b.WriteByte('\n')
 	}
 	for _, o := range work.Orders {
-		fmt.Fprintf(&b, "order %s most %d keep %.3g", o.ID, o.Most, o.Keep)
+		fmt.Fprintf(&b, "order %s most %d keep %.3g", o.ID, o.MaxOut, o.Keep)
 		if o.Paused {
 			b.WriteString(" paused")
 		}
@@ -48,7 +48,7 @@
 	}
 	for _, w := range work.Works {
 		fmt.Fprintf(&b, "machine %s %v number %d order %s", w.Machine.ID, w.Step, w.Number, w.Order)
-		if why := work.Waits(w, v); why != "" {
+		if why := work.WaitReason(w, v); why != "" {
 			fmt.Fprintf(&b, " why %s", why)
 		}
 		b.WriteByte('\n')
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -51,9 +51,9 @@
 }
 
 // setInventory records the machines that discovery lists.
-func (c *Coordinator) setInventory(all []maintenance.Seen) {
+func (c *Coordinator) setInventory(all []maintenance.MachineView) {
 	c.inventoryAt = c.now
-	c.inventory = make(map[string]maintenance.Seen, len(all))
+	c.inventory = make(map[string]maintenance.MachineView, len(all))
 	for _, m := range all {
 		c.inventory[m.ID] = m
 	}
@@ -61,7 +61,7 @@
 
 // view returns this leader's knowledge of the fleet.
 func (c *Coordinator) view() maintenance.View {
-	v := maintenance.View{Now: c.now, Machines: make(map[string]maintenance.Seen, len(c.inventory)),
+	v := maintenance.View{Now: c.now, Machines: make(map[string]maintenance.MachineView, len(c.inventory)),
 		Listed: c.inventoryAt, Expired: c.leaseExpired, Since: map[string]time.Duration{},
 		WarmAfter: c.cfg.WarmAfter}
 	v.Level = c.replica.Maintenance.Level
@@ -75,7 +75,7 @@
 		reporting++
 		handled += s.handled
 		shed += s.shed
-		v.Busy += s.inFlight
+		v.InFlight += s.inFlight
 		for _, id := range s.ejected {
 			ejected[id]++
 		}
@@ -84,21 +84,21 @@
 		}
 	}
 	if handled > 0 {
-		v.Refused = float64(shed) / float64(handled)
+		v.ShedFraction = float64(shed) / float64(handled)
 	}
 	for id, m := range c.inventory {
-		m.Sick = 2*ejected[id] > reporting // one peer's report alone has no effect
-		m.Hot = hot[id] >= min(minHotReports, reporting) && hot[id] > 0
-		m.Room = c.capacity(id)
+		m.Avoided = 2*ejected[id] > reporting // one peer's report alone has no effect
+		m.HotKey = hot[id] >= min(minHotReports, reporting) && hot[id] > 0
+		m.Capacity = c.capacity(id)
 		v.Machines[id] = m
 	}
-	for _, p := range c.replica.Maintenance.Parties {
+	for _, p := range c.replica.Maintenance.Participants {
 		if p.Gone {
 			continue
 		}
 		id := maintenance.ProxyID(p.Name)
 		at, ok := c.leadership.renewed[p.Key()]
-		v.Machines[id] = maintenance.Seen{Machine: maintenance.Machine{ID: id, Proxy: p.Name, Weight: 1},
+		v.Machines[id] = maintenance.MachineView{Machine: maintenance.Machine{ID: id, Proxy: p.Name, Weight: 1},
 			Ready: ok && c.now-at < 2*interval, Voter: slices.Contains(c.core.Voters(), p.ID)}
 	}
 	for id, s := range c.leadership.stepStarts {
--- a/internal/faulttest/conditions.go
+++ b/internal/faulttest/conditions.go
@@ -170,7 +170,7 @@
 		return false, nil
 	}
 	w := h.state.Active(f[1])
-	return w != nil && w.Named > 0 && h.state.AllKnow(w) == "", nil
+	return w != nil && w.Announced > 0 && h.state.FirstUnaware(w) == "", nil
 }
 
 // stepObserved tells whether a machine is at one of some steps.
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -34,7 +34,7 @@
 	servedBefore map[string]int
 
 	mu     sync.Mutex
-	judge  *maintenance.Judge
+	judge  *maintenance.InvariantChecker
 	fault  error              // the first
 	state  *maintenance.State // the newest that was seen
 	status map[string]string
@@ -59,7 +59,7 @@
 		log:      log,
 		relays:   map[[2]string]*Relay{},
 		began:    time.Now(),
-		judge:    maintenance.NewJudge(),
+		judge:    maintenance.NewInvariantChecker(),
 		status:   map[string]string{},
 		named:    map[string]string{},
 		calls:    map[string]error{},
--- a/internal/faulttest/watch.go
+++ b/internal/faulttest/watch.go
@@ -55,7 +55,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.judge.State(p.Name, s)
+	h.judge.ObserveState(p.Name, s)
 	if h.state == nil || s.Index > h.state.Index {
 		h.state = s
 	}
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -38,14 +38,14 @@
 	if err := Decode(raw, s); err != nil {
 		return nil, err
 	}
-	s.Filled()
+	s.InitMaps()
 	return s, nil
 }
 
-// Filled has what was decoded as nothing be empty instead.
-func (s *State) Filled() {
-	if s.Parties == nil {
-		s.Parties = map[string]*Party{}
+// InitMaps has what was decoded as nothing be empty instead.
+func (s *State) InitMaps() {
+	if s.Participants == nil {
+		s.Participants = map[string]*Participant{}
 	}
 	if s.Boots == nil {
 		s.Boots = map[string]Boot{}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -13,17 +13,17 @@
 
 // State is the state after an entry. New makes the first.
 type State struct {
-	Index   uint64            `cbor:"1,keyasint"`
-	Parties map[string]*Party `cbor:"2,keyasint"`
-	Orders  []*Order          `cbor:"3,keyasint"`
-	Works   []*Work           `cbor:"4,keyasint"`  // in the order in which they were named
-	Results []Result          `cbor:"5,keyasint"`  // oldest first
-	Steps   uint64            `cbor:"6,keyasint"`  // taken so far
-	Crowd   int               `cbor:"7,keyasint"`  // most parties that there ever were
-	Grace   time.Duration     `cbor:"8,keyasint"`  // the longest of any party ever
-	Turn    string            `cbor:"9,keyasint"`  // zone of the last grant
-	Boots   map[string]Boot   `cbor:"10,keyasint"` // the latest start of each name that was taken in
-	Level   uint64            `cbor:"11,keyasint,omitempty"`
+	Index           uint64                  `cbor:"1,keyasint"`
+	Participants    map[string]*Participant `cbor:"2,keyasint"`
+	Orders          []*Order                `cbor:"3,keyasint"`
+	Works           []*Work                 `cbor:"4,keyasint"`  // in the order in which they were named
+	Results         []Result                `cbor:"5,keyasint"`  // oldest first
+	Steps           uint64                  `cbor:"6,keyasint"`  // taken so far
+	MaxParticipants int                     `cbor:"7,keyasint"`  // most parties that there ever were
+	Grace           time.Duration           `cbor:"8,keyasint"`  // the longest of any party ever
+	LastZone        string                  `cbor:"9,keyasint"`  // zone of the last grant
+	Boots           map[string]Boot         `cbor:"10,keyasint"` // the latest start of each name that was taken in
+	Level           uint64                  `cbor:"11,keyasint,omitempty"`
 }
 
 // Boot is a start of an identity as a voter.
@@ -33,7 +33,7 @@
 }
 
 // New is the state before the first entry.
-func New() *State { return &State{Parties: map[string]*Party{}, Boots: map[string]Boot{}} }
+func New() *State { return &State{Participants: map[string]*Participant{}, Boots: map[string]Boot{}} }
 
 // Active is the work on a machine that is not ended, nil if there is none.
 func (s *State) Active(machine string) *Work {
@@ -59,7 +59,7 @@
 // so that a proxy that is cut off has room to go on with.
 func (s *State) Named() (ids []string) {
 	for _, w := range s.Works {
-		if w.Named > 0 && !w.Step.Ended() {
+		if w.Announced > 0 && !w.Step.Ended() {
 			ids = append(ids, w.Machine.ID)
 		}
 	}
@@ -82,9 +82,9 @@
 	return marks
 }
 
-// keptResults bounds the results that are remembered: a call that is sent again later than so many others
+// maxResults bounds the results that are remembered: a call that is sent again later than so many others
 // is refused by what it asks for (an order's id, a step), not by its own id.
-const keptResults = 512
+const maxResults = 512
 
 // Result is what became of an operators' call.
 type Result struct {
@@ -124,7 +124,7 @@
 		r.Err = err.Error()
 	}
 	s.Results = append(s.Results, r)
-	if n := len(s.Results) - keptResults; n > 0 {
+	if n := len(s.Results) - maxResults; n > 0 {
 		s.Results = slices.Delete(s.Results, 0, n)
 	}
 	return err
@@ -132,33 +132,33 @@
 
 func (s *State) apply(c Command) error {
 	switch c.Kind {
-	case Nothing:
+	case NoOp:
 		return nil
 	case Join:
-		return s.join(c.Party)
-	case Leave, Bury:
-		p := s.Parties[Key(c.Name, c.Inc)]
-		if p == nil || c.Kind == Bury && !p.Gone {
+		return s.join(c.Participant)
+	case Leave, RemoveExpired:
+		p := s.Participants[Key(c.Name, c.Inc)]
+		if p == nil || c.Kind == RemoveExpired && !p.Gone {
 			return fmt.Errorf("no such party: %s", Key(c.Name, c.Inc))
 		}
 		s.drop(p)
 		return nil
 	case Forget:
 		return s.forget(c.Name)
-	case Know:
-		for _, n := range c.Notes {
-			if p := s.Parties[n.Party]; p != nil {
-				p.Knows = max(p.Knows, min(n.Index, s.Index))
+	case Acknowledge:
+		for _, n := range c.Reports {
+			if p := s.Participants[n.Participant]; p != nil {
+				p.Acknowledged = max(p.Acknowledged, min(n.Index, s.Index))
 			}
 		}
 		return nil
 	case Clear:
-		return s.clear(c.Notes)
+		return s.clear(c.Reports)
 	case Submit:
 		return s.submit(c.Order)
 	case Pause, Resume, Cancel:
 		return s.order(c)
-	case Raise:
+	case RaiseLevel:
 		s.Level = max(s.Level, c.Index)
 		return nil
 	}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -11,9 +11,9 @@
 
 // order is one over machines m0 to mn in two zones.
 func order(id string, n, most int) *Order {
-	o := &Order{ID: id, Most: most, Fleet: 10}
+	o := &Order{ID: id, MaxOut: most, Fleet: 10}
 	for i := range n {
-		o.Machines = append(o.Machines, Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Kind: "k"})
+		o.Machines = append(o.Machines, Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2), Model: "k"})
 	}
 	return o
 }
@@ -33,35 +33,35 @@
 			t.Fatal(err)
 		}
 	}
-	enough := &Fact{Left: 9, ZoneLeft: 3}
+	enough := &Facts{WeightLeft: 9, ZoneLeft: 3}
 	a, b := Key("a", 1), Key("b", 2)
-	apply("", Command{Kind: Join, Party: &Party{Name: "a", Inc: 1, Addr: "x"}})
+	apply("", Command{Kind: Join, Participant: &Participant{Name: "a", Inc: 1, Addr: "x"}})
 	apply("", Command{Kind: Submit, Call: "c1", Order: order("o", 2, 1)})
 	apply("", Command{Kind: Submit, Call: "c1", Order: order("o", 2, 1)}) // once
 	apply("in order", Command{Kind: Submit, Order: order("p", 2, 1)})
-	apply("not been told", Command{Kind: Grant, Machine: "m0", Fact: enough})
-	apply("no room for those", Command{Kind: Name, Machine: "m0", Fact: &Fact{Left: 9}})
-	apply("", Command{Kind: Name, Machine: "m0", Fact: enough})
-	apply("named already", Command{Kind: Name, Machine: "m1", Fact: enough})
-	apply("does not know", Command{Kind: Grant, Machine: "m0", Fact: enough})
-	apply("", Command{Kind: Know, Notes: []Note{{Party: a, Index: index}}})
-	apply("last room", Command{Kind: Grant, Machine: "m0", Fact: &Fact{Left: 9}})
-	apply("", Command{Kind: Grant, Machine: "m0", Fact: enough})
+	apply("not been told", Command{Kind: Grant, Machine: "m0", Facts: enough})
+	apply("no room for those", Command{Kind: Announce, Machine: "m0", Facts: &Facts{WeightLeft: 9}})
+	apply("", Command{Kind: Announce, Machine: "m0", Facts: enough})
+	apply("named already", Command{Kind: Announce, Machine: "m1", Facts: enough})
+	apply("does not know", Command{Kind: Grant, Machine: "m0", Facts: enough})
+	apply("", Command{Kind: Acknowledge, Reports: []Report{{Participant: a, Index: index}}})
+	apply("last room", Command{Kind: Grant, Machine: "m0", Facts: &Facts{WeightLeft: 9}})
+	apply("", Command{Kind: Grant, Machine: "m0", Facts: enough})
 	grant := index
-	apply("", Command{Kind: Name, Machine: "m1", Fact: enough})
-	apply("", Command{Kind: Know, Notes: []Note{{Party: a, Index: index}}})
-	apply("out already", Command{Kind: Grant, Machine: "m1", Fact: enough})
+	apply("", Command{Kind: Announce, Machine: "m1", Facts: enough})
+	apply("", Command{Kind: Acknowledge, Reports: []Report{{Participant: a, Index: index}}})
+	apply("out already", Command{Kind: Grant, Machine: "m1", Facts: enough})
 	apply("may have something", Command{Kind: SetFree, Machine: "m0", Index: grant})
-	apply("", Command{Kind: Join, Party: &Party{Name: "b", Inc: 2, Addr: "y"}}) // knows with its first lease
-	apply("", Command{Kind: Clear, Notes: []Note{{Party: a, Machine: "m0", Index: grant - 1}}})
+	apply("", Command{Kind: Join, Participant: &Participant{Name: "b", Inc: 2, Addr: "y"}}) // knows with its first lease
+	apply("", Command{Kind: Clear, Reports: []Report{{Participant: a, Machine: "m0", Index: grant - 1}}})
 	apply("may have something", Command{Kind: SetFree, Machine: "m0", Index: grant})
-	apply("", Command{Kind: GiveBack, Machine: "m0", Index: grant, Why: "room"})
-	apply("", Command{Kind: Grant, Machine: "m0", Fact: enough})
+	apply("", Command{Kind: Revoke, Machine: "m0", Index: grant, Why: "room"})
+	apply("", Command{Kind: Grant, Machine: "m0", Facts: enough})
 	apply("another grant", Command{Kind: SetFree, Machine: "m0", Index: grant})
 	grant = index - 1
 	apply("may have something", Command{Kind: SetFree, Machine: "m0", Index: grant, Expired: []string{a}})
-	apply("", Command{Kind: Clear, Notes: []Note{{Party: a, Machine: "m0", Index: grant}}})
-	apply("", Command{Kind: Clear, Notes: []Note{{Party: b, Machine: "m0", Index: grant}}})
+	apply("", Command{Kind: Clear, Reports: []Report{{Participant: a, Machine: "m0", Index: grant}}})
+	apply("", Command{Kind: Clear, Reports: []Report{{Participant: b, Machine: "m0", Index: grant}}})
 	apply("", Command{Kind: SetFree, Machine: "m0", Index: grant})
 	apply("", Command{Kind: Cancel, Name: "o"})
 	if w := s.Active("m0"); w == nil || w.Step != Free || s.Active("m1") != nil {
@@ -70,8 +70,8 @@
 	apply("", Command{Kind: Return, Machine: "m0"})
 	apply("", Command{Kind: SetDone, Machine: "m0"})
 	apply("no order names", Command{Kind: SetOut, Machine: "m0"})
-	apply("", Command{Kind: Join, Party: &Party{Name: "a", Inc: 3, Addr: "x"}})
-	if !s.Parties[a].Gone || s.Parties[b].Gone {
+	apply("", Command{Kind: Join, Participant: &Participant{Name: "a", Inc: 3, Addr: "x"}})
+	if !s.Participants[a].Gone || s.Participants[b].Gone {
 		t.Error("a process at the same address does not prove that the one before is gone, or another is")
 	}
 }
@@ -85,21 +85,21 @@
 		for index := uint64(1); index < 80; index++ {
 			c := Command{Kind: Kind(rapid.IntRange(0, 23).Draw(r, "kind")), Machine: id.Draw(r, "machine"),
 				Name: rapid.SampledFrom([]string{"a", "b", "o1", "o2"}).Draw(r, "name"), Inc: 1,
-				Index: rapid.Uint64Range(0, 80).Draw(r, "index"), Fact: &Fact{Left: 9, ZoneLeft: 1},
+				Index: rapid.Uint64Range(0, 80).Draw(r, "index"), Facts: &Facts{WeightLeft: 9, ZoneLeft: 1},
 				Call: rapid.SampledFrom([]string{"", "", "c1", "c2"}).Draw(r, "call")}
 			switch c.Kind {
 			case Join:
-				c.Party = &Party{Name: c.Name, Inc: uint64(rapid.IntRange(1, 3).Draw(r, "inc")), Addr: "x"}
+				c.Participant = &Participant{Name: c.Name, Inc: uint64(rapid.IntRange(1, 3).Draw(r, "inc")), Addr: "x"}
 			case Submit:
 				c.Order = order(c.Name, rapid.IntRange(1, 4).Draw(r, "n"), rapid.IntRange(0, 3).Draw(r, "most"))
-			case Know, Clear:
-				for p := range s.Parties {
-					c.Notes = append(c.Notes, Note{Party: p, Machine: c.Machine, Index: index - 1})
+			case Acknowledge, Clear:
+				for p := range s.Participants {
+					c.Reports = append(c.Reports, Report{Participant: p, Machine: c.Machine, Index: index - 1})
 					if w := s.Active(c.Machine); w != nil && c.Kind == Clear {
-						c.Notes[len(c.Notes)-1].Index = w.Granted
+						c.Reports[len(c.Reports)-1].Index = w.Granted
 					}
 				}
-			case SetFree, GiveBack:
+			case SetFree, Revoke:
 				if w := s.Active(c.Machine); w != nil {
 					c.Index = w.Granted
 				}
@@ -124,15 +124,15 @@
 	if err := s.Apply(1, Command{Kind: Submit, Order: order("o", 4, 4)}); err != nil {
 		t.Fatal(err)
 	}
-	v := View{Machines: map[string]Seen{}, Expired: func(string) bool { return false }}
+	v := View{Machines: map[string]MachineView{}, Expired: func(string) bool { return false }}
 	for i := range 8 {
-		m := Seen{Machine: Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2)}, Ready: true, Sick: i == 3}
+		m := MachineView{Machine: Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2)}, Ready: true, Avoided: i == 3}
 		v.Machines[m.ID] = m
 	}
 	var got []string
 	for index := uint64(2); len(got) < 4 && index < 40; index++ {
 		c := s.Next(v)
-		if c.Kind == Name {
+		if c.Kind == Announce {
 			if err := s.Apply(index, c); err != nil {
 				t.Fatal(err)
 			}
@@ -149,8 +149,8 @@
 	if want := "[m3 m0 m1 m2]"; fmt.Sprint(got) != want {
 		t.Errorf("went %v, want %s", got, want)
 	}
-	for name, v := range map[string]View{"old": {Now: time.Hour}, "refused": {Refused: 0.02}} {
-		if s.Blocked(v) == "" {
+	for name, v := range map[string]View{"old": {Now: time.Hour}, "refused": {ShedFraction: 0.02}} {
+		if s.BlockedReason(v) == "" {
 			t.Error("granted with " + name)
 		}
 	}
@@ -158,18 +158,18 @@
 
 // TestOrdersThatMakeNoSense guards against an order that would take out more than was meant.
 func TestOrdersThatMakeNoSense(t *testing.T) {
-	v := View{Machines: map[string]Seen{"m0": {Machine: Machine{ID: "m0", Zone: "z0", Kind: "k"}, Ready: true}}}
+	v := View{Machines: map[string]MachineView{"m0": {Machine: Machine{ID: "m0", Zone: "z0", Model: "k"}, Ready: true}}}
 	for want, sp := range map[string]Spec{
-		"machines[0]": {ID: "o", Machines: []string{"x"}, Most: 1},
-		"zones[0]":    {ID: "o", Zones: []string{"x"}, Most: 1},
-		"models[0]":   {ID: "o", Models: []string{"x"}, Most: 1},
+		"machines[0]": {ID: "o", Machines: []string{"x"}, MaxOut: 1},
+		"zones[0]":    {ID: "o", Zones: []string{"x"}, MaxOut: 1},
+		"models[0]":   {ID: "o", Models: []string{"x"}, MaxOut: 1},
 		"most: 0":     {ID: "o", All: true},
-		"most: 2":     {ID: "o", All: true, Most: 2},
-		"keep":        {ID: "o", All: true, Most: 1, Keep: 1},
-		"machines: n": {ID: "o", Most: 1},
-		"id":          {All: true, Most: 1},
-		"done":        {ID: "o", All: true, Most: 1, Done: "maybe"},
-		"out-for":     {ID: "o", All: true, Most: 1, OutFor: -1},
+		"most: 2":     {ID: "o", All: true, MaxOut: 2},
+		"keep":        {ID: "o", All: true, MaxOut: 1, Keep: 1},
+		"machines: n": {ID: "o", MaxOut: 1},
+		"id":          {All: true, MaxOut: 1},
+		"done":        {ID: "o", All: true, MaxOut: 1, Done: "maybe"},
+		"out-for":     {ID: "o", All: true, MaxOut: 1, OutFor: -1},
 	} {
 		if _, err := sp.Resolve(v); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %q", sp, err, want)
@@ -181,22 +181,22 @@
 // that one with a hot key goes last and not while it has it, and that what is not free is given back.
 func TestMeasuredRoom(t *testing.T) {
 	s := New()
-	v := View{Now: time.Minute, Listed: time.Minute, Machines: map[string]Seen{}, Busy: 12, Level: LevelResume,
+	v := View{Now: time.Minute, Listed: time.Minute, Machines: map[string]MachineView{}, InFlight: 12, Level: LevelResume,
 		Expired: func(string) bool { return false }}
 	for i := range 4 {
 		id := fmt.Sprint("m", i)
-		v.Machines[id] = Seen{Machine: Machine{ID: id, Zone: fmt.Sprint("z", i%2)}, Ready: true, Room: 8}
+		v.Machines[id] = MachineView{Machine: Machine{ID: id, Zone: fmt.Sprint("z", i%2)}, Ready: true, Capacity: 8}
 	}
 	index := uint64(0)
 	apply := func(c Command) error {
 		index++
 		return s.Apply(index, c)
 	}
-	o, err := Spec{ID: "o", Machines: []string{"m0", "m1"}, Most: 1}.Resolve(v)
-	if err != nil || o.Margin != usualMargin {
+	o, err := Spec{ID: "o", Machines: []string{"m0", "m1"}, MaxOut: 1}.Resolve(v)
+	if err != nil || o.Margin != defaultMargin {
 		t.Fatal(o, err)
 	}
-	for _, c := range []Command{{Kind: Raise, Index: LevelResume}, {Kind: Submit, Order: o}} {
+	for _, c := range []Command{{Kind: RaiseLevel, Index: LevelResume}, {Kind: Submit, Order: o}} {
 		if err := apply(c); err != nil {
 			t.Fatal(err)
 		}
@@ -205,46 +205,46 @@
 		t.Helper()
 		if c := s.Next(v); c.Kind != kind || c.Machine != machine {
 			t.Fatalf("%v of %q is next, want %v of %q; m0 waits: %s", c.Kind, c.Machine, kind, machine,
-				s.Waits(s.Works[0], v))
-		} else if c.Kind != Nothing && apply(c) != nil {
+				s.WaitReason(s.Works[0], v))
+		} else if c.Kind != NoOp && apply(c) != nil {
 			t.Fatalf("%+v does not count", c)
 		}
 	}
-	v.Busy = 17 // 24 of room, 17 and half as much again: more
-	next(Nothing, "")
+	v.InFlight = 17 // 24 of room, 17 and half as much again: more
+	next(NoOp, "")
 	w := s.Works[0]
-	if why := s.Waits(w, v); !strings.Contains(why, "could hold 24 requests, 17 are in work") {
+	if why := s.WaitReason(w, v); !strings.Contains(why, "could hold 24 requests, 17 are in work") {
 		t.Errorf("it waits, since %s", why)
 	}
-	bad := &Fact{Left: 3, ZoneLeft: 1, Room: 24, Busy: 17}
-	if err := apply(Command{Kind: Name, Machine: "m0", Fact: bad}); err == nil {
+	bad := &Facts{WeightLeft: 3, ZoneLeft: 1, Capacity: 24, InFlight: 17}
+	if err := apply(Command{Kind: Announce, Machine: "m0", Facts: bad}); err == nil {
 		t.Error("a leader can name a machine whose room is needed")
 	}
-	v.Busy = 12
+	v.InFlight = 12
 	m := v.Machines["m0"]
-	m.Hot = true
+	m.HotKey = true
 	v.Machines["m0"] = m
-	next(Name, "m1")
-	x := &Party{Name: "x", Inc: 1, Knows: index} // it has not said that it is clear
-	s.Parties[x.Key()] = x
+	next(Announce, "m1")
+	x := &Participant{Name: "x", Inc: 1, Acknowledged: index} // it has not said that it is clear
+	s.Participants[x.Key()] = x
 	next(Grant, "m1")
-	v.Busy = 25 // more than the others hold: what is not free yet is given back
-	next(GiveBack, "m1")
-	v.Busy = 1
+	v.InFlight = 25 // more than the others hold: what is not free yet is given back
+	next(Revoke, "m1")
+	v.InFlight = 1
 	s.Works[1].Step = Done
-	next(Name, "m0")
-	x.Knows = index
-	if err := s.May(w, s.fact(w, v, false)); err == nil || !strings.Contains(err.Error(), "hot key") {
+	next(Announce, "m0")
+	x.Acknowledged = index
+	if err := s.CanGrant(w, s.assess(w, v, false)); err == nil || !strings.Contains(err.Error(), "hot key") {
 		t.Errorf("a machine with a hot key may go out: %v", err)
 	}
-	m.Hot = false
+	m.HotKey = false
 	v.Machines["m0"] = m
-	if err := s.May(w, s.fact(w, v, false)); err != nil {
+	if err := s.CanGrant(w, s.assess(w, v, false)); err != nil {
 		t.Errorf("and it may not once that is over: %v", err)
 	}
 	s.Level = 0 // with an earlier program among the proxies nothing of this is said
-	v.Busy = 1000
-	if f := s.fact(w, v, false); f.Room != 0 || f.Busy != 0 || f.Hot {
+	v.InFlight = 1000
+	if f := s.assess(w, v, false); f.Capacity != 0 || f.InFlight != 0 || f.HotKey {
 		t.Errorf("%+v is said to who doesn't understand it", f)
 	}
 }
--- a/internal/maintenance/next.go
+++ b/internal/maintenance/next.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// Seen is what a leader knows of one machine.
-type Seen struct {
+// MachineView is what a leader knows of one machine.
+type MachineView struct {
 	Machine
-	Ready bool    // discovery lists it as ready; of a proxy: it was heard lately
-	Sick  bool    // most proxies that tell avoid it
-	Voter bool    // a proxy that votes
-	Room  float64 // requests that it can hold, the median of what proxies measured; 0: not known
-	Hot   bool    // it serves a key that is a machine's load by itself
+	Ready    bool    // discovery lists it as ready; of a proxy: it was heard lately
+	Avoided  bool    // most proxies that tell avoid it
+	Voter    bool    // a proxy that votes
+	Capacity float64 // requests that it can hold, the median of what proxies measured; 0: not known
+	HotKey   bool    // it serves a key that is a machine's load by itself
 }
 
 // View is what a leader knows of the fleet. What it does not know for sure is left out.
 type View struct {
-	Now       time.Duration
-	Machines  map[string]Seen
-	Listed    time.Duration         // when discovery was last heard
-	Refused   float64               // part of the requests lately that the proxies refused
-	Busy      float64               // requests in work at machines, all proxies together
-	Expired   func(key string) bool // the party's lease has surely run out, and the longest deadline since
-	Since     map[string]time.Duration
-	WarmAfter time.Duration
-	Level     uint64 // of the log
+	Now          time.Duration
+	Machines     map[string]MachineView
+	Listed       time.Duration         // when discovery was last heard
+	ShedFraction float64               // part of the requests lately that the proxies refused
+	InFlight     float64               // requests in work at machines, all proxies together
+	Expired      func(key string) bool // the party's lease has surely run out, and the longest deadline since
+	Since        map[string]time.Duration
+	WarmAfter    time.Duration
+	Level        uint64 // of the log
 }
 
 // Figures of the choice.
 const (
-	listOld     = 30 * time.Second // nothing is granted by a list that is older
-	refusesMuch = 0.01             // nothing is granted while this part of the requests is refused
-	refusesMost = 0.05             // and what is not free yet is given back
+	maxListAge        = 30 * time.Second // nothing is granted by a list that is older
+	shedBlocksGrants  = 0.01             // nothing is granted while this part of the requests is refused
+	shedRevokesGrants = 0.05             // and what is not free yet is given back
 )
 
-// Blocked says why nothing can be granted now, "" if something may be.
-func (s *State) Blocked(v View) string {
+// BlockedReason says why nothing can be granted now, "" if something may be.
+func (s *State) BlockedReason(v View) string {
 	switch {
-	case v.Now-v.Listed > listOld:
+	case v.Now-v.Listed > maxListAge:
 		return "the list of machines is old: discovery has not been heard"
-	case v.Refused >= refusesMuch:
+	case v.ShedFraction >= shedBlocksGrants:
 		return "the proxies refuse requests: no room"
 	}
 	return ""
 }
 
-// fact is what would stay without a machine, and without those that are named as well.
-func (s *State) fact(w *Work, v View, named bool) *Fact {
-	f := &Fact{Voter: v.Machines[w.Machine.ID].Voter}
+// assess is what would stay without a machine, and without those that are named as well.
+func (s *State) assess(w *Work, v View, withAnnounced bool) *Facts {
+	f := &Facts{Voter: v.Machines[w.Machine.ID].Voter}
 	measured, known := 0.0, 0.0 // room, and the weight of the machines of which it is known
 	for id, m := range v.Machines {
-		a := s.Active(id)
-		if id == w.Machine.ID || !m.Ready || m.Sick || a != nil && (a.Step.gone() || named && a.Named > 0) ||
+		active := s.Active(id)
+		if id == w.Machine.ID || !m.Ready || m.Avoided || active != nil && (active.Step.missing() || withAnnounced && active.Announced > 0) ||
 			(m.Proxy == "") != (w.Machine.Proxy == "") {
 			continue
 		}
-		f.Left += weight(m.Machine)
+		f.WeightLeft += weight(m.Machine)
 		if m.Zone == w.Machine.Zone || m.Proxy != "" {
 			f.ZoneLeft++
 		}
-		if m.Room > 0 {
-			measured += m.Room
+		if m.Capacity > 0 {
+			measured += m.Capacity
 			known += weight(m.Machine)
 		}
 	}
 	if w.Machine.Proxy == "" && s.Level >= LevelResume {
-		if f.Hot = v.Machines[w.Machine.ID].Hot; 2*known >= f.Left && known > 0 {
-			f.Room, f.Busy = measured*f.Left/known, v.Busy // one that is not known is as the others
+		if f.HotKey = v.Machines[w.Machine.ID].HotKey; 2*known >= f.WeightLeft && known > 0 {
+			f.Capacity, f.InFlight = measured*f.WeightLeft/known, v.InFlight // one that is not known is as the others
 		}
 	}
 	return f
@@ -121,20 +121,20 @@
 					expired = append(expired, p.Key())
 				}
 			}
-			if s.Holding(w, expired) == "" {
+			if s.FirstHolding(w, expired) == "" {
 				return Command{Kind: SetFree, Machine: w.Machine.ID, Index: w.Granted, Expired: expired}
 			}
-			if f := s.fact(w, v, false); v.Refused >= refusesMost || f.Room > 0 && f.Room < f.Busy {
-				return Command{Kind: GiveBack, Machine: w.Machine.ID, Index: w.Granted, Why: "its room is needed"}
+			if f := s.assess(w, v, false); v.ShedFraction >= shedRevokesGrants || f.Capacity > 0 && f.Capacity < f.InFlight {
+				return Command{Kind: Revoke, Machine: w.Machine.ID, Index: w.Granted, Why: "its room is needed"}
 			}
 		case Free, Out:
-			anew := listed && m.Ready && m.Started > w.Machine.Started
+			restarted := listed && m.Ready && m.Started > w.Machine.Started
 			if w.Machine.Proxy != "" {
-				anew = slices.ContainsFunc(s.sorted(), func(p *Party) bool {
+				restarted = slices.ContainsFunc(s.sorted(), func(p *Participant) bool {
 					return p.Name == w.Machine.Proxy && p.Joined > w.Granted
 				})
 			}
-			if anew && !o.Said {
+			if restarted && !o.ConfirmReturn {
 				return Command{Kind: Return, Machine: w.Machine.ID, Why: "it has started anew"}
 			}
 			if o.OutFor > 0 && since > o.OutFor {
@@ -148,25 +148,25 @@
 	}
 	for _, p := range s.sorted() {
 		if p.Gone && v.Expired(p.Key()) {
-			return Command{Kind: Bury, Name: p.Name, Inc: p.Inc}
+			return Command{Kind: RemoveExpired, Name: p.Name, Inc: p.Inc}
 		}
 	}
-	if s.Blocked(v) != "" {
+	if s.BlockedReason(v) != "" {
 		return Command{}
 	}
-	for _, w := range s.choice(v) {
-		if f := s.fact(w, v, false); w.Named > 0 && s.May(w, f) == nil {
-			return Command{Kind: Grant, Machine: w.Machine.ID, Fact: f}
+	for _, w := range s.candidates(v) {
+		if f := s.assess(w, v, false); w.Announced > 0 && s.CanGrant(w, f) == nil {
+			return Command{Kind: Grant, Machine: w.Machine.ID, Facts: f}
 		}
-		if f := s.fact(w, v, true); w.Named == 0 && s.MayName(w, f) == nil {
-			return Command{Kind: Name, Machine: w.Machine.ID, Fact: f}
+		if f := s.assess(w, v, true); w.Announced == 0 && s.CanAnnounce(w, f) == nil {
+			return Command{Kind: Announce, Machine: w.Machine.ID, Facts: f}
 		}
 	}
 	return Command{}
 }
 
-// choice lists the waiting machines, the one that should go first first.
-func (s *State) choice(v View) []*Work {
+// candidates lists the waiting machines, the one that should go first first.
+func (s *State) candidates(v View) []*Work {
 	var waiting []*Work
 	var zones []string
 	for _, w := range s.Works {
@@ -179,7 +179,7 @@
 	zones = slices.Compact(zones)
 	turn := func(zone string) int { // zones behind the last one come first
 		i, _ := slices.BinarySearch(zones, zone)
-		at, found := slices.BinarySearch(zones, s.Turn)
+		at, found := slices.BinarySearch(zones, s.LastZone)
 		if found {
 			at++
 		}
@@ -187,9 +187,9 @@
 	}
 	rank := func(w *Work) int {
 		switch m := v.Machines[w.Machine.ID]; {
-		case m.Sick:
+		case m.Avoided:
 			return 0
-		case m.Hot:
+		case m.HotKey:
 			return 2
 		}
 		return 1
@@ -200,22 +200,22 @@
 	return waiting
 }
 
-// Waits says why a machine does not go on, "" if nothing holds it.
-func (s *State) Waits(w *Work, v View) string {
+// WaitReason says why a machine does not go on, "" if nothing holds it.
+func (s *State) WaitReason(w *Work, v View) string {
 	switch w.Step {
 	case Waiting:
-		if why := s.Blocked(v); why != "" {
+		if why := s.BlockedReason(v); why != "" {
 			return why
 		}
-		err := s.May(w, s.fact(w, v, false))
-		if w.Named == 0 {
-			err = s.MayName(w, s.fact(w, v, true))
+		err := s.CanGrant(w, s.assess(w, v, false))
+		if w.Announced == 0 {
+			err = s.CanAnnounce(w, s.assess(w, v, true))
 		}
 		if err != nil {
 			return err.Error()
 		}
 	case Granted, Draining:
-		if key := s.Holding(w, nil); key != "" {
+		if key := s.FirstHolding(w, nil); key != "" {
 			return fmt.Sprintf("proxy %s has not said that it has nothing there, and its lease may still run", key)
 		}
 	case Free, Out, Returning:
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -9,22 +9,22 @@
 
 // Order is staff's order.
 type Order struct {
-	ID       string        `cbor:"1,keyasint"`
-	Machines []Machine     `cbor:"2,keyasint"`
-	Most     int           `cbor:"3,keyasint"`           // out at once, in all orders together
-	MostZone int           `cbor:"4,keyasint,omitempty"` // of one zone; 0: as Most
-	MostKind int           `cbor:"5,keyasint,omitempty"` // of one model; 0: as Most
-	Keep     float64       `cbor:"6,keyasint"`           // part of the fleet's weight that must stay in service
-	Fleet    float64       `cbor:"7,keyasint"`           // the fleet's weight when the order was taken in
-	OutFor   time.Duration `cbor:"8,keyasint,omitempty"` // longer than this out is failed; 0: no bound
-	Said     bool          `cbor:"9,keyasint,omitempty"` // done when staff say so, not when it starts anew
-	Paused   bool          `cbor:"10,keyasint,omitempty"`
-	Ended    bool          `cbor:"11,keyasint,omitempty"` // cancelled: nothing more is granted
-	Margin   float64       `cbor:"12,keyasint,omitempty"` // measured room beyond what is in work that must stay
+	ID            string        `cbor:"1,keyasint"`
+	Machines      []Machine     `cbor:"2,keyasint"`
+	MaxOut        int           `cbor:"3,keyasint"`           // out at once, in all orders together
+	MaxPerZone    int           `cbor:"4,keyasint,omitempty"` // of one zone; 0: as Most
+	MaxPerModel   int           `cbor:"5,keyasint,omitempty"` // of one model; 0: as Most
+	Keep          float64       `cbor:"6,keyasint"`           // part of the fleet's weight that must stay in service
+	Fleet         float64       `cbor:"7,keyasint"`           // the fleet's weight when the order was taken in
+	OutFor        time.Duration `cbor:"8,keyasint,omitempty"` // longer than this out is failed; 0: no bound
+	ConfirmReturn bool          `cbor:"9,keyasint,omitempty"` // done when staff say so, not when it starts anew
+	Paused        bool          `cbor:"10,keyasint,omitempty"`
+	Ended         bool          `cbor:"11,keyasint,omitempty"` // cancelled: nothing more is granted
+	Margin        float64       `cbor:"12,keyasint,omitempty"` // measured room beyond what is in work that must stay
 }
 
-// mostMargin bounds an order's margin: more is a slip of the pen.
-const mostMargin = 10.0
+// maxMargin bounds an order's margin: more is a slip of the pen.
+const maxMargin = 10.0
 
 // check says what is wrong with an order by itself.
 func (o *Order) check() error {
@@ -33,16 +33,16 @@
 		return errors.New("id: not set")
 	case len(o.Machines) == 0:
 		return errors.New("machines: none")
-	case o.Most < 1:
-		return fmt.Errorf("most: %d, want at least 1", o.Most)
-	case o.MostZone < 0 || o.MostKind < 0:
-		return fmt.Errorf("most-zone, most-kind: %d, %d, want at least 0", o.MostZone, o.MostKind)
+	case o.MaxOut < 1:
+		return fmt.Errorf("most: %d, want at least 1", o.MaxOut)
+	case o.MaxPerZone < 0 || o.MaxPerModel < 0:
+		return fmt.Errorf("most-zone, most-kind: %d, %d, want at least 0", o.MaxPerZone, o.MaxPerModel)
 	case !(o.Keep >= 0 && o.Keep < 1):
 		return fmt.Errorf("keep: %v, want a part from 0 to under 1", o.Keep)
 	case o.OutFor < 0:
 		return fmt.Errorf("out-for: %v, want at least 0", o.OutFor)
-	case !(o.Margin >= 0 && o.Margin <= mostMargin):
-		return fmt.Errorf("margin: %v, want 0 to %v", o.Margin, mostMargin)
+	case !(o.Margin >= 0 && o.Margin <= maxMargin):
+		return fmt.Errorf("margin: %v, want 0 to %v", o.Margin, maxMargin)
 	}
 	seen := map[string]bool{}
 	for _, m := range o.Machines {
@@ -74,7 +74,7 @@
 	for _, m := range o.Machines {
 		s.Works = append(s.Works, &Work{Order: o.ID, Machine: m})
 	}
-	s.tidy()
+	s.prune()
 	return nil
 }
 
@@ -96,20 +96,20 @@
 		o.Ended = true
 		for _, w := range s.Works {
 			if w.Order == o.ID && w.Step < Free {
-				s.to(w, Cancelled, "the order was cancelled")
+				s.setStep(w, Cancelled, "the order was cancelled")
 			}
 		}
 	}
 	return nil
 }
 
-// keptWorks bounds the machines remembered that orders are through with.
-const keptWorks = 1024
+// maxWorks bounds the machines remembered that orders are through with.
+const maxWorks = 1024
 
-// tidy forgets the machines that orders are through with, the oldest first, and orders of which none is
+// prune forgets the machines that orders are through with, the oldest first, and orders of which none is
 // left. An order's id is free again then.
-func (s *State) tidy() {
-	over := len(s.Works) - keptWorks
+func (s *State) prune() {
+	over := len(s.Works) - maxWorks
 	s.Works = slices.DeleteFunc(s.Works, func(w *Work) bool {
 		if over > 0 && w.Step.Ended() {
 			over--
--- a/internal/maintenance/spec.go
+++ b/internal/maintenance/spec.go
@@ -9,40 +9,40 @@
 
 // Spec is an order as staff word it: machines by id, zone or model, or all.
 type Spec struct {
-	ID       string        `json:"id" yaml:"id" cbor:"1,keyasint"`
-	Machines []string      `json:"machines,omitempty" yaml:"machines" cbor:"2,keyasint,omitempty"`
-	Zones    []string      `json:"zones,omitempty" yaml:"zones" cbor:"3,keyasint,omitempty"`
-	Models   []string      `json:"models,omitempty" yaml:"models" cbor:"4,keyasint,omitempty"`
-	All      bool          `json:"all,omitempty" yaml:"all" cbor:"5,keyasint,omitempty"`
-	Most     int           `json:"most" yaml:"most" cbor:"6,keyasint"`
-	MostZone int           `json:"most-zone,omitempty" yaml:"most-zone" cbor:"7,keyasint,omitempty"`
-	MostKind int           `json:"most-model,omitempty" yaml:"most-model" cbor:"8,keyasint,omitempty"`
-	Keep     float64       `json:"keep" yaml:"keep" cbor:"9,keyasint"`
-	OutFor   time.Duration `json:"out-for,omitempty" yaml:"out-for" cbor:"10,keyasint,omitempty"`
-	Proxies  []string      `json:"proxies,omitempty" yaml:"proxies" cbor:"12,keyasint,omitempty"`
-	AllProxy bool          `json:"all-proxies,omitempty" yaml:"all-proxies" cbor:"13,keyasint,omitempty"`
+	ID          string        `json:"id" yaml:"id" cbor:"1,keyasint"`
+	Machines    []string      `json:"machines,omitempty" yaml:"machines" cbor:"2,keyasint,omitempty"`
+	Zones       []string      `json:"zones,omitempty" yaml:"zones" cbor:"3,keyasint,omitempty"`
+	Models      []string      `json:"models,omitempty" yaml:"models" cbor:"4,keyasint,omitempty"`
+	All         bool          `json:"all,omitempty" yaml:"all" cbor:"5,keyasint,omitempty"`
+	MaxOut      int           `json:"most" yaml:"most" cbor:"6,keyasint"`
+	MaxPerZone  int           `json:"most-zone,omitempty" yaml:"most-zone" cbor:"7,keyasint,omitempty"`
+	MaxPerModel int           `json:"most-model,omitempty" yaml:"most-model" cbor:"8,keyasint,omitempty"`
+	Keep        float64       `json:"keep" yaml:"keep" cbor:"9,keyasint"`
+	OutFor      time.Duration `json:"out-for,omitempty" yaml:"out-for" cbor:"10,keyasint,omitempty"`
+	Proxies     []string      `json:"proxies,omitempty" yaml:"proxies" cbor:"12,keyasint,omitempty"`
+	AllProxies  bool          `json:"all-proxies,omitempty" yaml:"all-proxies" cbor:"13,keyasint,omitempty"`
 	// Done is restart or said: what tells that a machine is back
 	Done   string  `json:"done,omitempty" yaml:"done" cbor:"11,keyasint,omitempty"`
 	Margin float64 `json:"margin,omitempty" yaml:"margin" cbor:"14,keyasint,omitempty"` // 0: usualMargin
 }
 
-// usualMargin is the measured room that stays beyond what is in work: bursts of half as much again are usual.
-const usualMargin = 0.5
+// defaultMargin is the measured room that stays beyond what is in work: bursts of half as much again are usual.
+const defaultMargin = 0.5
 
 // maxMachines bounds the machines of one order.
 const maxMachines = 512
 
 // Resolve makes an order of what staff want, by the machines that the leader knows. An error names the key.
 func (sp Spec) Resolve(v View) (*Order, error) {
-	o := &Order{ID: sp.ID, Most: sp.Most, MostZone: sp.MostZone, MostKind: sp.MostKind, Keep: sp.Keep,
-		Fleet: v.Fleet(sp.AllProxy || len(sp.Proxies) > 0), OutFor: sp.OutFor, Said: sp.Done == "said"}
+	o := &Order{ID: sp.ID, MaxOut: sp.MaxOut, MaxPerZone: sp.MaxPerZone, MaxPerModel: sp.MaxPerModel, Keep: sp.Keep,
+		Fleet: v.Fleet(sp.AllProxies || len(sp.Proxies) > 0), OutFor: sp.OutFor, ConfirmReturn: sp.Done == "said"}
 	if v.Level >= LevelResume {
-		o.Margin = cmp.Or(sp.Margin, usualMargin)
+		o.Margin = cmp.Or(sp.Margin, defaultMargin)
 	}
 	if sp.Done != "" && sp.Done != "said" && sp.Done != "restart" {
 		return nil, fmt.Errorf("done: %q, want restart or said", sp.Done)
 	}
-	proxies := sp.AllProxy || len(sp.Proxies) > 0
+	proxies := sp.AllProxies || len(sp.Proxies) > 0
 	of := v.count(proxies)
 	if of == 0 {
 		return nil, fmt.Errorf("machines: the list of machines is not known yet")
@@ -51,13 +51,13 @@
 	var ids []string
 	for id, m := range v.Machines {
 		if m.Proxy != "" {
-			if sp.AllProxy || slices.Contains(sp.Proxies, m.Proxy) {
+			if sp.AllProxies || slices.Contains(sp.Proxies, m.Proxy) {
 				ids = append(ids, id)
 			}
 			continue
 		}
-		zones[m.Zone], kinds[m.Kind] = true, true
-		if sp.All || slices.Contains(sp.Zones, m.Zone) || slices.Contains(sp.Models, m.Kind) {
+		zones[m.Zone], kinds[m.Model] = true, true
+		if sp.All || slices.Contains(sp.Zones, m.Zone) || slices.Contains(sp.Models, m.Model) {
 			ids = append(ids, id)
 		}
 	}
@@ -88,8 +88,8 @@
 	if len(ids) > maxMachines {
 		return nil, fmt.Errorf("machines: %d, at most %d in one order", len(ids), maxMachines)
 	}
-	if sp.Most > of {
-		return nil, fmt.Errorf("most: %d of %d machines", sp.Most, of)
+	if sp.MaxOut > of {
+		return nil, fmt.Errorf("most: %d of %d machines", sp.MaxOut, of)
 	}
 	for _, id := range ids {
 		o.Machines = append(o.Machines, v.Machines[id].Machine)
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -30,47 +30,47 @@
 // Marked tells whether nothing new may be sent to a machine in this step.
 func (s Step) Marked() bool { return s >= Granted && s <= Out || s == Failed }
 
-// gone tells whether a machine in this step is missing to the fleet.
-func (s Step) gone() bool { return s.Marked() || s == Returning }
+// missing tells whether a machine in this step is missing to the fleet.
+func (s Step) missing() bool { return s.Marked() || s == Returning }
 
 // Ended tells whether the order is through with a machine. A failed one is not: it stays named.
 func (s Step) Ended() bool { return s == Done || s == Cancelled }
 
-// steps says from where each entry leads where. Free and Grant have guards of their own besides.
-var steps = map[Kind]struct {
+// transitions says from where each entry leads where. Free and Grant have guards of their own besides.
+var transitions = map[Kind]struct {
 	from []Step
 	to   Step
 }{
-	Grant:    {[]Step{Waiting}, Granted},
-	SetFree:  {[]Step{Granted, Draining}, Free},
-	SetOut:   {[]Step{Free}, Out},
-	Return:   {[]Step{Free, Out, Failed}, Returning},
-	SetDone:  {[]Step{Returning}, Done},
-	Fail:     {[]Step{Free, Out}, Failed},
-	GiveBack: {[]Step{Granted, Draining}, Waiting},
+	Grant:   {[]Step{Waiting}, Granted},
+	SetFree: {[]Step{Granted, Draining}, Free},
+	SetOut:  {[]Step{Free}, Out},
+	Return:  {[]Step{Free, Out, Failed}, Returning},
+	SetDone: {[]Step{Returning}, Done},
+	Fail:    {[]Step{Free, Out}, Failed},
+	Revoke:  {[]Step{Granted, Draining}, Waiting},
 }
 
 // step takes an entry on one machine.
 func (s *State) step(w *Work, c Command) error {
-	if c.Kind == Name {
-		if err := s.MayName(w, c.Fact); err != nil {
+	if c.Kind == Announce {
+		if err := s.CanAnnounce(w, c.Facts); err != nil {
 			return err
 		}
-		w.Named = s.Index
+		w.Announced = s.Index
 		return nil
 	}
-	next, ok := steps[c.Kind]
+	next, ok := transitions[c.Kind]
 	if !ok || !slices.Contains(next.from, w.Step) {
 		return fmt.Errorf("machine %q is %v", w.Machine.ID, w.Step)
 	}
 	switch c.Kind {
 	case Grant:
-		if err := s.May(w, c.Fact); err != nil {
+		if err := s.CanGrant(w, c.Facts); err != nil {
 			return err
 		}
-		w.Granted, w.Clear, w.Voter, s.Turn = s.Index, nil, c.Fact.Voter, w.Machine.Zone
+		w.Granted, w.Clear, w.Voter, s.LastZone = s.Index, nil, c.Facts.Voter, w.Machine.Zone
 	case Return:
-		if p := w.Machine.Proxy; p != "" && !slices.ContainsFunc(s.sorted(), func(o *Party) bool {
+		if p := w.Machine.Proxy; p != "" && !slices.ContainsFunc(s.sorted(), func(o *Participant) bool {
 			return o.Name == p && o.Joined > w.Granted
 		}) {
 			return fmt.Errorf("machine %q: proxy %s has not started anew", w.Machine.ID, p)
@@ -79,20 +79,20 @@
 		if c.Index != w.Granted {
 			return fmt.Errorf("machine %q: of another grant", w.Machine.ID)
 		}
-		if key := s.Holding(w, c.Expired); key != "" {
+		if key := s.FirstHolding(w, c.Expired); key != "" {
 			return fmt.Errorf("machine %q: %s may have something there", w.Machine.ID, key)
 		}
-	case GiveBack:
+	case Revoke:
 		if c.Index != w.Granted {
 			return fmt.Errorf("machine %q: of another grant", w.Machine.ID)
 		}
 	}
-	s.to(w, next.to, c.Why)
+	s.setStep(w, next.to, c.Why)
 	return nil
 }
 
-// to takes a step.
-func (s *State) to(w *Work, step Step, why string) {
+// setStep takes a step.
+func (s *State) setStep(w *Work, step Step, why string) {
 	s.Steps++
 	w.Step, w.Number, w.Why = step, s.Steps, why
 	if !step.Marked() {
--- a/internal/maintenancesim/faults.go
+++ b/internal/maintenancesim/faults.go
@@ -27,7 +27,7 @@
 		return
 	}
 	who, f := p.key(), &flight{machine: m.ID}
-	w.judge.Begin(who, m.ID)
+	w.judge.RequestStarted(who, m.ID)
 	p.open[m.ID]++
 	p.flights = append(p.flights, f)
 	takes := w.between(5*time.Millisecond, 150*time.Millisecond)
@@ -43,7 +43,7 @@
 			return
 		}
 		f.over = true
-		w.judge.End(who, m.ID)
+		w.judge.RequestEnded(who, m.ID)
 		p.later(0, func() { // and the process hears of it when it runs
 			p.open[m.ID]--
 			p.flights = slices.DeleteFunc(p.flights, func(o *flight) bool { return o == f })
@@ -57,7 +57,7 @@
 	for _, f := range p.flights {
 		if f.machine == id && !f.over {
 			f.over = true
-			p.w.judge.End(p.key(), id)
+			p.w.judge.RequestEnded(p.key(), id)
 			p.open[id]--
 		}
 	}
@@ -71,7 +71,7 @@
 	}
 	p.w.trace("%s is killed", p.name)
 	p.alive = false
-	p.w.judge.Died(p.key())
+	p.w.judge.ProcessDied(p.key())
 }
 
 // resume lets a paused process go on: what has come meanwhile is there.
@@ -90,9 +90,9 @@
 
 // discovery tells the machines as they are listed.
 func (p *proxy) discovery() {
-	var all []maintenance.Seen
+	var all []maintenance.MachineView
 	for _, m := range p.w.machines {
-		all = append(all, maintenance.Seen{Machine: m.Machine, Ready: m.ready})
+		all = append(all, maintenance.MachineView{Machine: m.Machine, Ready: m.ready})
 	}
 	p.step(coordination.Inventory{Machines: all})
 	load := coordination.Load{Handled: 100, InFlight: float64(len(p.flights))}
@@ -164,7 +164,7 @@
 	case n < 4 || len(w.orders) == 0:
 		id := fmt.Sprintf("o%d", w.lastCall)
 		w.orders = append(w.orders, id)
-		spec := &maintenance.Spec{ID: id, Most: 1 + w.rng.IntN(2), MostZone: w.rng.IntN(3), Keep: 0.3}
+		spec := &maintenance.Spec{ID: id, MaxOut: 1 + w.rng.IntN(2), MaxPerZone: w.rng.IntN(3), Keep: 0.3}
 		for _, m := range w.machines {
 			if w.rng.IntN(2) == 0 {
 				spec.Machines = append(spec.Machines, m.ID)
--- a/internal/maintenancesim/play.go
+++ b/internal/maintenancesim/play.go
@@ -1,6 +1,6 @@
 // Package maintenancesim plays the proxies that settle who goes out for work in virtual time: the real
 // coordination and fencing of each, over a simulated network, disks, clocks and machines, with faults drawn
-// from a seed. What happens is held against maintenance.Judge, which judges real processes too.
+// from a seed. What happens is held against maintenance.InvariantChecker, which checks real processes too.
 package maintenancesim
 
 import (
@@ -107,7 +107,7 @@
 	cut      map[[2]string]bool
 	slow     map[[2]string]time.Duration
 	loss     float64
-	judge    *maintenance.Judge
+	judge    *maintenance.InvariantChecker
 	calls    map[string]string // id -> what it gave
 	made     map[string]*Call
 	lastCall int
@@ -155,7 +155,7 @@
 	binary.LittleEndian.PutUint64(key[:], cfg.Seed)
 	defer func(old io.Reader) { crand.Reader = old }(crand.Reader)
 	crand.Reader = rand.NewChaCha8(key)
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), judge: maintenance.NewJudge(),
+	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), judge: maintenance.NewInvariantChecker(),
 		cut: map[[2]string]bool{}, slow: map[[2]string]time.Duration{}, calls: map[string]string{},
 		made: map[string]*Call{}}
 	w.build()
@@ -194,7 +194,7 @@
 	}
 	for i := range m {
 		w.machines = append(w.machines, &machine{Machine: maintenance.Machine{ID: fmt.Sprintf("m%d", i),
-			Zone: fmt.Sprintf("z%d", i%2), Kind: fmt.Sprintf("k%d", i%3), Weight: 1}, ready: true})
+			Zone: fmt.Sprintf("z%d", i%2), Model: fmt.Sprintf("k%d", i%3), Weight: 1}, ready: true})
 	}
 	old := w.rng.IntN(4) == 0 // some programs are of the version before
 	for i := range n {
@@ -364,7 +364,7 @@
 	}
 	if work := p.council.Maintenance(); work.Index != p.seenWork {
 		p.seenWork = work.Index
-		w.judge.State(p.name, work)
+		w.judge.ObserveState(p.name, work)
 		w.staff(work)
 	}
 	for _, e := range effects {
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -326,7 +326,9 @@
 }
 
 // Inventory takes the machines as discovery lists them.
-func (n *Node) Inventory(all []maintenance.Seen) { n.post(coordination.Inventory{Machines: all}) }
+func (n *Node) Inventory(all []maintenance.MachineView) {
+	n.post(coordination.Inventory{Machines: all})
+}
 
 // Load takes what the proxy has handled and refused since the last call, and what it measured.
 func (n *Node) Load(l coordination.Load) { n.post(l) }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -101,12 +101,12 @@
 	if p.peers == nil {
 		return
 	}
-	var machines []maintenance.Seen
+	var machines []maintenance.MachineView
 	p.lastPublished.serverNames = map[lg.ServerID]string{}
 	for _, instance := range p.servers.Instances() {
 		p.lastPublished.serverNames[serverlist.ID(instance.Name)] = instance.Name
-		machines = append(machines, maintenance.Seen{Ready: instance.State == lg.Ready,
-			Machine: maintenance.Machine{ID: instance.Name, Zone: instance.Zone, Kind: instance.Kind,
+		machines = append(machines, maintenance.MachineView{Ready: instance.State == lg.Ready,
+			Machine: maintenance.Machine{ID: instance.Name, Zone: instance.Zone, Model: instance.Kind,
 				Weight: instance.Weight, Started: instance.Started}})
 	}
 	p.peers.Inventory(slices.Clip(machines))
