--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -92,7 +92,8 @@
 	b := batch{Nonce: c.rng.Uint64() | 1}
 	b.Commands = append(b.Commands, l.joins...)
 	if n := min(len(l.knownNotes), maxNotes); n > 0 {
-		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Acknowledge, Reports: l.knownNotes[:n]})
+		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Acknowledge,
+			Reports: l.knownNotes[:n]})
 	}
 	if n := min(len(l.clearNotes), maxNotes); n > 0 {
 		b.Commands = append(b.Commands, maintenance.Command{Kind: maintenance.Clear, Reports: l.clearNotes[:n]})
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -155,7 +155,8 @@
 		return !w.Step.Ended() && w.Announced > p.KnownIndex() && w.Announced <= knownIndex
 	}
 	if slices.ContainsFunc(c.replica.Maintenance.Works, isNew) {
-		c.leadership.knownNotes = append(c.leadership.knownNotes, maintenance.Report{Participant: key, Index: knownIndex})
+		c.leadership.knownNotes = append(c.leadership.knownNotes,
+			maintenance.Report{Participant: key, Index: knownIndex})
 	}
 }
 
@@ -174,7 +175,8 @@
 // queueJoinOrLeave queues the joining or leaving of a participant, once.
 func (c *Coordinator) queueJoinOrLeave(cmd maintenance.Command) {
 	same := func(o maintenance.Command) bool {
-		return o.Kind == cmd.Kind && (o.Participant != nil && cmd.Participant != nil && o.Participant.Key() == cmd.Participant.Key() ||
+		return o.Kind == cmd.Kind && (o.Participant != nil && cmd.Participant != nil &&
+			o.Participant.Key() == cmd.Participant.Key() ||
 			o.Participant == nil && o.Name == cmd.Name && o.Inc == cmd.Inc)
 	}
 	if !slices.ContainsFunc(c.leadership.joins, same) {
--- a/internal/maintenance/codec.go
+++ b/internal/maintenance/codec.go
@@ -6,14 +6,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The encoding is deterministic, so that the same state is the same bytes everywhere. What is decoded is
-// bounded, since it may come from a foreign process.
+// The encoding is deterministic: equal states encode to equal bytes on every proxy. The decoder
+// limits the sizes that it accepts, since its input may come from an untrusted process.
 var (
 	encode = must(cbor.CoreDetEncOptions().EncMode())
 	decode = must(cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
 )
 
+// must returns v, and panics on an error.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -21,10 +22,11 @@
 	return v
 }
 
-// Encode words a value of this project for another process or the disk.
+// Encode returns the encoding of a value for another process or the disk. It panics on types that
+// can't be encoded.
 func Encode(v any) []byte { return must(encode.Marshal(v)) }
 
-// Decode reads what Encode has worded.
+// Decode decodes the output of Encode into v.
 func Decode(raw []byte, v any) error {
 	if err := decode.Unmarshal(raw, v); err != nil {
 		return fmt.Errorf("not understood: %w", err)
@@ -32,7 +34,7 @@
 	return nil
 }
 
-// Restore reads a state that Encode has worded.
+// Restore decodes a state that Encode has encoded.
 func Restore(raw []byte) (*State, error) {
 	s := New()
 	if err := Decode(raw, s); err != nil {
@@ -42,7 +44,7 @@
 	return s, nil
 }
 
-// InitMaps has what was decoded as nothing be empty instead.
+// InitMaps replaces nil maps by empty ones, after decoding.
 func (s *State) InitMaps() {
 	if s.Participants == nil {
 		s.Participants = map[string]*Participant{}
--- a/internal/maintenance/invariants.go
+++ b/internal/maintenance/invariants.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// Check says what is wrong with a state by itself, nil if nothing is: the invariants that hold after every
-// entry, in any proxy's eyes.
+// Check returns the first violated invariant of a single state, nil if all hold. They hold after
+// every entry on every proxy.
 func (s *State) Check() error {
 	active := map[string]bool{}
 	for _, w := range s.Works {
@@ -45,30 +45,30 @@
 	return nil
 }
 
-// Digest is a number that two states share if they are the same.
+// Digest returns a hash of the encoded state. Equal states have equal digests.
 func (s *State) Digest() uint64 {
 	h := fnv.New64a()
 	h.Write(Encode(s))
 	return h.Sum64()
 }
 
-// InvariantChecker holds what was seen against the promises, over a whole run. Whoever plays tells it what happens, in
-// the order of one true clock. The first fault stays.
+// InvariantChecker checks the safety properties over a whole run of several processes. The test
+// harness reports events in the order of a single clock. The first violation is kept.
 type InvariantChecker struct {
-	Fault    error
-	Requests int // begun
-	Frees    int // machines told free
-	states   map[uint64]uint64
-	steps    map[uint64]string // by number
-	open     map[string]map[string]int
-	free     map[string]uint64 // machines that were told free and are not back, with the number of that step
+	Fault    error                     // the first violation
+	Requests int                       // started
+	Frees    int                       // machines that became free
+	states   map[uint64]uint64         // digests by index
+	steps    map[uint64]string         // machine and step, by the step's number
+	open     map[string]map[string]int // requests in flight by machine and process
+	free     map[string]uint64         // numbers of the steps that freed machines
 	freed    map[uint64]bool
 }
 
-// NewInvariantChecker is a judge before a run.
+// NewInvariantChecker returns a checker for a new run.
 func NewInvariantChecker() *InvariantChecker {
-	return &InvariantChecker{states: map[uint64]uint64{}, steps: map[uint64]string{}, open: map[string]map[string]int{},
-		free: map[string]uint64{}, freed: map[uint64]bool{}}
+	return &InvariantChecker{states: map[uint64]uint64{}, steps: map[uint64]string{},
+		open: map[string]map[string]int{}, free: map[string]uint64{}, freed: map[uint64]bool{}}
 }
 
 func (j *InvariantChecker) fail(format string, args ...any) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// ObserveState takes in the state that a proxy holds after the entry at its index. Guards against two proxies that
-// see different things after the same entry.
+// ObserveState checks the state of a proxy after the entry at the state's index. Two proxies must
+// have the same state after the same entry.
 func (j *InvariantChecker) ObserveState(who string, s *State) {
 	if err := s.Check(); err != nil {
 		j.fail("%s at entry %d: %w", who, s.Index, err)
@@ -95,7 +95,7 @@
 	}
 }
 
-// ObserveStep takes in a machine's step as somebody sees it.
+// ObserveStep checks a machine's step, with its number, as one process sees it.
 func (j *InvariantChecker) ObserveStep(number uint64, machine string, step Step) {
 	what := fmt.Sprint(machine, " ", step)
 	if was, ok := j.steps[number]; ok && was != what {
@@ -117,7 +117,7 @@
 	}
 }
 
-// RequestStarted takes in that a proxy's process sends a request to a machine.
+// RequestStarted records that a process starts a request at a machine, which must not be free.
 func (j *InvariantChecker) RequestStarted(who, machine string) {
 	j.Requests++
 	if _, off := j.free[machine]; off {
@@ -129,10 +129,10 @@
 	j.open[machine][who]++
 }
 
-// RequestEnded takes in that a request is over at its machine.
+// RequestEnded records that a request at a machine has ended.
 func (j *InvariantChecker) RequestEnded(who, machine string) { j.open[machine][who]-- }
 
-// ProcessDied takes in that a process is dead: what it had open is over.
+// ProcessDied records that a process has died, which ends its requests.
 func (j *InvariantChecker) ProcessDied(who string) {
 	for _, open := range j.open {
 		delete(open, who)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,7 +1,8 @@
-// Package maintenance is the state machine of machines taken out for work: entries of the log that the
-// proxies agree on come in, in their order, and the same state follows everywhere. It is pure: no clock, no
-// sockets. Every guard is checked where an entry is applied, so that no leader can go round it; what only a
-// clock can tell (a lease that ran out) comes in with the entry and is the proposer's to prove.
+// Package maintenance is the replicated state machine that decides which machines may be taken out
+// of service. It applies the entries of the replicated log in order, and every proxy reaches the
+// same state. It is pure: it uses no clock and no sockets. Every precondition is checked when an
+// entry is applied, so that no leader can bypass it. Facts that need a clock, such as an expired
+// lease, are part of the entry, and the proposer is responsible for them.
 package maintenance
 
 import (
@@ -11,31 +12,31 @@
 	"time"
 )
 
-// State is the state after an entry. New makes the first.
+// State is the state after an entry. New returns the initial one.
 type State struct {
 	Index           uint64                  `cbor:"1,keyasint"`
 	Participants    map[string]*Participant `cbor:"2,keyasint"`
 	Orders          []*Order                `cbor:"3,keyasint"`
-	Works           []*Work                 `cbor:"4,keyasint"`  // in the order in which they were named
+	Works           []*Work                 `cbor:"4,keyasint"`  // in the order in which orders listed them
 	Results         []Result                `cbor:"5,keyasint"`  // oldest first
-	Steps           uint64                  `cbor:"6,keyasint"`  // taken so far
-	MaxParticipants int                     `cbor:"7,keyasint"`  // most parties that there ever were
-	Grace           time.Duration           `cbor:"8,keyasint"`  // the longest of any party ever
-	LastZone        string                  `cbor:"9,keyasint"`  // zone of the last grant
-	Boots           map[string]Boot         `cbor:"10,keyasint"` // the latest start of each name that was taken in
+	Steps           uint64                  `cbor:"6,keyasint"`  // number of steps taken, of all machines
+	MaxParticipants int                     `cbor:"7,keyasint"`  // highest number of participants ever
+	Grace           time.Duration           `cbor:"8,keyasint"`  // highest Grace of any participant ever
+	LastZone        string                  `cbor:"9,keyasint"`  // zone of the last granted machine
+	Boots           map[string]Boot         `cbor:"10,keyasint"` // latest start of each participant name
 	Level           uint64                  `cbor:"11,keyasint,omitempty"`
 }
 
-// Boot is a start of an identity as a voter.
+// Boot identifies one start of a voter identity.
 type Boot struct {
 	ID   uint64 `cbor:"1,keyasint"`
-	Boot uint64 `cbor:"2,keyasint"`
+	Boot uint64 `cbor:"2,keyasint"` // number of the start, from 1
 }
 
-// New is the state before the first entry.
+// New returns the state before the first entry.
 func New() *State { return &State{Participants: map[string]*Participant{}, Boots: map[string]Boot{}} }
 
-// Active is the work on a machine that is not ended, nil if there is none.
+// Active returns the work on a machine that has not ended, nil if there is none.
 func (s *State) Active(machine string) *Work {
 	for _, w := range s.Works {
 		if w.Machine.ID == machine && !w.Step.Ended() {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// Order is the order of that id, nil if there is none.
+// Order returns the order with an id, nil if there is none.
 func (s *State) Order(id string) *Order {
 	for _, o := range s.Orders {
 		if o.ID == id {
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// Named lists the machines that may go out: who is cut off sends nothing new there. They are few at any time,
-// so that a proxy that is cut off has room to go on with.
+// Named lists the announced machines, which may go out: a proxy that is cut off sends them no new
+// requests. Their number is limited, so that a proxy that is cut off keeps enough capacity.
 func (s *State) Named() (ids []string) {
 	for _, w := range s.Works {
 		if w.Announced > 0 && !w.Step.Ended() {
@@ -66,13 +67,13 @@
 	return ids
 }
 
-// Mark is a machine to which nothing new may be sent, with the index of its grant.
+// Mark is a machine that must get no new requests, with the index of its grant.
 type Mark struct {
 	Machine string `cbor:"1,keyasint"`
 	Grant   uint64 `cbor:"2,keyasint"`
 }
 
-// Marked lists the machines to which nothing new may be sent.
+// Marked lists the machines that must get no new requests.
 func (s *State) Marked() (marks []Mark) {
 	for _, w := range s.Works {
 		if w.Step.Marked() {
@@ -82,17 +83,17 @@
 	return marks
 }
 
-// maxResults bounds the results that are remembered: a call that is sent again later than so many others
-// is refused by what it asks for (an order's id, a step), not by its own id.
+// maxResults is the number of results that are kept. A repeat of an older call is not recognised by
+// its id, but fails on its content: the order's id exists already, or the step doesn't fit.
 const maxResults = 512
 
-// Result is what became of an operators' call.
+// Result is the outcome of an operator's call.
 type Result struct {
 	Call string `cbor:"1,keyasint"`
-	Err  string `cbor:"2,keyasint,omitempty"`
+	Err  string `cbor:"2,keyasint,omitempty"` // empty: success
 }
 
-// Result is what became of a call; ok is false if it was not carried out yet, or too long ago.
+// Result returns the outcome of a call. ok is false if the call was not applied yet, or too long ago.
 func (s *State) Result(call string) (r Result, ok bool) {
 	for _, r := range s.Results {
 		if r.Call == call {
@@ -102,8 +103,10 @@
 	return r, false
 }
 
-// Apply takes an entry at an index, at which there may be several. It returns why nothing changed, nil if the
-// entry counted. A call that was carried out before gives what it gave then.
+// Apply applies an entry at an index; one index may have several entries. It returns why the entry
+// changed nothing, nil if it was applied. A call that was applied before returns its earlier
+// result. The errors are part of the replicated state (Result.Err): changing their text makes
+// proxies of two versions differ.
 func (s *State) Apply(index uint64, c Command) error {
 	if index < s.Index {
 		return errors.New("an old entry")
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// order is one over machines m0 to mn in two zones.
+// order returns an order over n machines, m0, m1 and so on, in two zones.
 func order(id string, n, most int) *Order {
 	o := &Order{ID: id, MaxOut: most, Fleet: 10}
 	for i := range n {
@@ -18,8 +18,8 @@
 	return o
 }
 
-// TestWay covers a machine's way, with the guards on it.
-func TestWay(t *testing.T) {
+// TestLifecycle covers the steps of a machine, from the order to its return, and their preconditions.
+func TestLifecycle(t *testing.T) {
 	s := New()
 	index := uint64(0)
 	apply := func(want string, c Command) {
@@ -37,7 +37,7 @@
 	a, b := Key("a", 1), Key("b", 2)
 	apply("", Command{Kind: Join, Participant: &Participant{Name: "a", Inc: 1, Addr: "x"}})
 	apply("", Command{Kind: Submit, Call: "c1", Order: order("o", 2, 1)})
-	apply("", Command{Kind: Submit, Call: "c1", Order: order("o", 2, 1)}) // once
+	apply("", Command{Kind: Submit, Call: "c1", Order: order("o", 2, 1)}) // applied once
 	apply("in order", Command{Kind: Submit, Order: order("p", 2, 1)})
 	apply("not been told", Command{Kind: Grant, Machine: "m0", Facts: enough})
 	apply("no room for those", Command{Kind: Announce, Machine: "m0", Facts: &Facts{WeightLeft: 9}})
@@ -52,7 +52,8 @@
 	apply("", Command{Kind: Acknowledge, Reports: []Report{{Participant: a, Index: index}}})
 	apply("out already", Command{Kind: Grant, Machine: "m1", Facts: enough})
 	apply("may have something", Command{Kind: SetFree, Machine: "m0", Index: grant})
-	apply("", Command{Kind: Join, Participant: &Participant{Name: "b", Inc: 2, Addr: "y"}}) // knows with its first lease
+	// It learns of m0 by its lease.
+	apply("", Command{Kind: Join, Participant: &Participant{Name: "b", Inc: 2, Addr: "y"}})
 	apply("", Command{Kind: Clear, Reports: []Report{{Participant: a, Machine: "m0", Index: grant - 1}}})
 	apply("may have something", Command{Kind: SetFree, Machine: "m0", Index: grant})
 	apply("", Command{Kind: Revoke, Machine: "m0", Index: grant, Why: "room"})
@@ -65,19 +66,19 @@
 	apply("", Command{Kind: SetFree, Machine: "m0", Index: grant})
 	apply("", Command{Kind: Cancel, Name: "o"})
 	if w := s.Active("m0"); w == nil || w.Step != Free || s.Active("m1") != nil {
-		t.Fatal("a cancelled order lets go of what is free, or keeps what waits")
+		t.Fatal("a cancelled order released a free machine, or kept a waiting one")
 	}
 	apply("", Command{Kind: Return, Machine: "m0"})
 	apply("", Command{Kind: SetDone, Machine: "m0"})
 	apply("no order names", Command{Kind: SetOut, Machine: "m0"})
 	apply("", Command{Kind: Join, Participant: &Participant{Name: "a", Inc: 3, Addr: "x"}})
 	if !s.Participants[a].Gone || s.Participants[b].Gone {
-		t.Error("a process at the same address does not prove that the one before is gone, or another is")
+		t.Error("want the earlier process at the same address marked as gone, and no other")
 	}
 }
 
-// TestRandomEntries holds the invariants over entries drawn at random, also ones that make no sense, and that
-// a state restored from its words is the same.
+// TestRandomEntries checks the invariants after random entries, including meaningless ones, and
+// that a state restored from its encoding is the same.
 func TestRandomEntries(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := New()
@@ -106,19 +107,20 @@
 			}
 			steps := s.Steps
 			if err := s.Apply(index, c); err != nil && s.Steps != steps {
-				r.Fatalf("%+v was turned down and took a step", c)
+				r.Fatalf("%+v returned an error and took a step", c)
 			}
 			if err := s.Check(); err != nil {
 				r.Fatal(err)
 			}
 			if again, err := Restore(Encode(s)); err != nil || again.Digest() != s.Digest() {
-				r.Fatalf("restored as another: %v", err)
+				r.Fatalf("the restored state differs: %v", err)
 			}
 		}
 	})
 }
 
-// TestNext covers whom a leader would grant: the sick first, zones by turns, nothing without room.
+// TestNext covers the order in which the leader grants machines: those that proxies avoid first,
+// then zones in round-robin order, and none while grants are blocked.
 func TestNext(t *testing.T) {
 	s := New()
 	if err := s.Apply(1, Command{Kind: Submit, Order: order("o", 4, 4)}); err != nil {
@@ -126,7 +128,8 @@
 	}
 	v := View{Machines: map[string]MachineView{}, Expired: func(string) bool { return false }}
 	for i := range 8 {
-		m := MachineView{Machine: Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2)}, Ready: true, Avoided: i == 3}
+		m := MachineView{Machine: Machine{ID: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%2)}, Ready: true,
+			Avoided: i == 3}
 		v.Machines[m.ID] = m
 	}
 	var got []string
@@ -147,18 +150,20 @@
 		}
 	}
 	if want := "[m3 m0 m1 m2]"; fmt.Sprint(got) != want {
-		t.Errorf("went %v, want %s", got, want)
+		t.Errorf("granted in the order %v, want %s", got, want)
 	}
 	for name, v := range map[string]View{"old": {Now: time.Hour}, "refused": {ShedFraction: 0.02}} {
 		if s.BlockedReason(v) == "" {
-			t.Error("granted with " + name)
+			t.Error("not blocked with " + name)
 		}
 	}
 }
 
-// TestOrdersThatMakeNoSense guards against an order that would take out more than was meant.
-func TestOrdersThatMakeNoSense(t *testing.T) {
-	v := View{Machines: map[string]MachineView{"m0": {Machine: Machine{ID: "m0", Zone: "z0", Model: "k"}, Ready: true}}}
+// TestInvalidSpecs covers specs that are rejected, since they could take out more than the operator
+// meant.
+func TestInvalidSpecs(t *testing.T) {
+	v := View{Machines: map[string]MachineView{
+		"m0": {Machine: Machine{ID: "m0", Zone: "z0", Model: "k"}, Ready: true}}}
 	for want, sp := range map[string]Spec{
 		"machines[0]": {ID: "o", Machines: []string{"x"}, MaxOut: 1},
 		"zones[0]":    {ID: "o", Zones: []string{"x"}, MaxOut: 1},
@@ -177,11 +182,13 @@
 	}
 }
 
-// TestMeasuredRoom holds that a machine goes out only where the others can hold what is in work and a margin,
-// that one with a hot key goes last and not while it has it, and that what is not free is given back.
-func TestMeasuredRoom(t *testing.T) {
+// TestMeasuredCapacity checks that a machine goes out only if the others can handle the requests in
+// flight and a margin, that a machine with a hot key goes last and not before the key is gone, and
+// that the grant of a machine that is not free is revoked when its capacity is needed.
+func TestMeasuredCapacity(t *testing.T) {
 	s := New()
-	v := View{Now: time.Minute, Listed: time.Minute, Machines: map[string]MachineView{}, InFlight: 12, Level: LevelResume,
+	v := View{Now: time.Minute, Listed: time.Minute, Machines: map[string]MachineView{}, InFlight: 12,
+		Level:   LevelResume,
 		Expired: func(string) bool { return false }}
 	for i := range 4 {
 		id := fmt.Sprint("m", i)
@@ -204,53 +211,53 @@
 	next := func(kind Kind, machine string) {
 		t.Helper()
 		if c := s.Next(v); c.Kind != kind || c.Machine != machine {
-			t.Fatalf("%v of %q is next, want %v of %q; m0 waits: %s", c.Kind, c.Machine, kind, machine,
+			t.Fatalf("next is %v of %q, want %v of %q; m0 waits: %s", c.Kind, c.Machine, kind, machine,
 				s.WaitReason(s.Works[0], v))
 		} else if c.Kind != NoOp && apply(c) != nil {
-			t.Fatalf("%+v does not count", c)
+			t.Fatalf("%+v was rejected", c)
 		}
 	}
-	v.InFlight = 17 // 24 of room, 17 and half as much again: more
+	v.InFlight = 17 // capacity 24, less than 17 and the margin of 50 %
 	next(NoOp, "")
 	w := s.Works[0]
 	if why := s.WaitReason(w, v); !strings.Contains(why, "could hold 24 requests, 17 are in work") {
-		t.Errorf("it waits, since %s", why)
+		t.Errorf("reason %q", why)
 	}
 	bad := &Facts{WeightLeft: 3, ZoneLeft: 1, Capacity: 24, InFlight: 17}
 	if err := apply(Command{Kind: Announce, Machine: "m0", Facts: bad}); err == nil {
-		t.Error("a leader can name a machine whose room is needed")
+		t.Error("a machine whose capacity is needed can be announced")
 	}
 	v.InFlight = 12
 	m := v.Machines["m0"]
 	m.HotKey = true
 	v.Machines["m0"] = m
 	next(Announce, "m1")
-	x := &Participant{Name: "x", Inc: 1, Acknowledged: index} // it has not said that it is clear
+	x := &Participant{Name: "x", Inc: 1, Acknowledged: index} // it has not reported that it is clear
 	s.Participants[x.Key()] = x
 	next(Grant, "m1")
-	v.InFlight = 25 // more than the others hold: what is not free yet is given back
+	v.InFlight = 25 // more than the others can handle: the grant is revoked
 	next(Revoke, "m1")
 	v.InFlight = 1
 	s.Works[1].Step = Done
 	next(Announce, "m0")
 	x.Acknowledged = index
 	if err := s.CanGrant(w, s.assess(w, v, false)); err == nil || !strings.Contains(err.Error(), "hot key") {
-		t.Errorf("a machine with a hot key may go out: %v", err)
+		t.Errorf("a machine with a hot key can be granted: %v", err)
 	}
 	m.HotKey = false
 	v.Machines["m0"] = m
 	if err := s.CanGrant(w, s.assess(w, v, false)); err != nil {
-		t.Errorf("and it may not once that is over: %v", err)
+		t.Errorf("can't be granted without the hot key: %v", err)
 	}
-	s.Level = 0 // with an earlier program among the proxies nothing of this is said
+	s.Level = 0 // an older version among the proxies doesn't understand these facts
 	v.InFlight = 1000
 	if f := s.assess(w, v, false); f.Capacity != 0 || f.InFlight != 0 || f.HotKey {
-		t.Errorf("%+v is said to who doesn't understand it", f)
+		t.Errorf("%+v has facts that an older version doesn't understand", f)
 	}
 }
 
-// TestMarginOfAnOrder guards against margins that can't be meant.
-func TestMarginOfAnOrder(t *testing.T) {
+// TestInvalidMargins covers margins that an order rejects.
+func TestInvalidMargins(t *testing.T) {
 	for _, margin := range []float64{-0.1, 11} {
 		o := order("o", 1, 1)
 		o.Margin = margin
--- a/internal/maintenance/next.go
+++ b/internal/maintenance/next.go
@@ -7,37 +7,39 @@
 	"time"
 )
 
-// MachineView is what a leader knows of one machine.
+// MachineView is what the leader knows of one machine.
 type MachineView struct {
 	Machine
-	Ready    bool    // discovery lists it as ready; of a proxy: it was heard lately
-	Avoided  bool    // most proxies that tell avoid it
-	Voter    bool    // a proxy that votes
-	Capacity float64 // requests that it can hold, the median of what proxies measured; 0: not known
-	HotKey   bool    // it serves a key that is a machine's load by itself
+	Ready    bool    // discovery lists it as ready; a proxy: it was heard from recently
+	Avoided  bool    // most of the proxies that report on it avoid it
+	Voter    bool    // a proxy that is a voter
+	Capacity float64 // concurrent requests, the median of the proxies' measurements; 0: unknown
+	HotKey   bool    // it serves a key whose load alone fills a machine
 }
 
-// View is what a leader knows of the fleet. What it does not know for sure is left out.
+// View is what the leader knows of the fleet. It omits what the leader doesn't know for certain.
 type View struct {
 	Now          time.Duration
 	Machines     map[string]MachineView
-	Listed       time.Duration         // when discovery was last heard
-	ShedFraction float64               // part of the requests lately that the proxies refused
-	InFlight     float64               // requests in work at machines, all proxies together
-	Expired      func(key string) bool // the party's lease has surely run out, and the longest deadline since
-	Since        map[string]time.Duration
-	WarmAfter    time.Duration
-	Level        uint64 // of the log
+	Listed       time.Duration // time of the last answer from discovery
+	ShedFraction float64       // fraction of recent requests that the proxies shed, 0..1
+	InFlight     float64       // requests in flight at machines, of all proxies
+	// Expired reports whether a participant's lease has certainly expired, and the longest deadline
+	// since.
+	Expired   func(key string) bool
+	Since     map[string]time.Duration // time at which a machine reached its step
+	WarmAfter time.Duration            // a ready Returning machine is done after it
+	Level     uint64                   // of the log
 }
 
-// Figures of the choice.
+// Limits of the leader's decisions.
 const (
-	maxListAge        = 30 * time.Second // nothing is granted by a list that is older
-	shedBlocksGrants  = 0.01             // nothing is granted while this part of the requests is refused
-	shedRevokesGrants = 0.05             // and what is not free yet is given back
+	maxListAge        = 30 * time.Second // no grants while the server list is older than this
+	shedBlocksGrants  = 0.01             // no grants while at least this fraction of requests is shed
+	shedRevokesGrants = 0.05             // from this fraction on, grants of machines not yet free are revoked
 )
 
-// BlockedReason says why nothing can be granted now, "" if something may be.
+// BlockedReason returns why no machine at all can be granted now, "" if grants are possible.
 func (s *State) BlockedReason(v View) string {
 	switch {
 	case v.Now-v.Listed > maxListAge:
@@ -48,13 +50,15 @@
 	return ""
 }
 
-// assess is what would stay without a machine, and without those that are named as well.
+// assess computes what would stay in service without a machine and, with withAnnounced, without all
+// announced machines.
 func (s *State) assess(w *Work, v View, withAnnounced bool) *Facts {
 	f := &Facts{Voter: v.Machines[w.Machine.ID].Voter}
-	measured, known := 0.0, 0.0 // room, and the weight of the machines of which it is known
+	measured, known := 0.0, 0.0 // capacity, and the weight of the machines whose capacity is known
 	for id, m := range v.Machines {
 		active := s.Active(id)
-		if id == w.Machine.ID || !m.Ready || m.Avoided || active != nil && (active.Step.missing() || withAnnounced && active.Announced > 0) ||
+		if id == w.Machine.ID || !m.Ready || m.Avoided ||
+			active != nil && (active.Step.missing() || withAnnounced && active.Announced > 0) ||
 			(m.Proxy == "") != (w.Machine.Proxy == "") {
 			continue
 		}
@@ -69,12 +73,13 @@
 	}
 	if w.Machine.Proxy == "" && s.Level >= LevelResume {
 		if f.HotKey = v.Machines[w.Machine.ID].HotKey; 2*known >= f.WeightLeft && known > 0 {
-			f.Capacity, f.InFlight = measured*f.WeightLeft/known, v.InFlight // one that is not known is as the others
+			f.Capacity, f.InFlight = measured*f.WeightLeft/known, v.InFlight // unknown machines count as average
 		}
 	}
 	return f
 }
 
+// weight returns the machine's weight, 1 if it has none.
 func weight(m Machine) float64 {
 	if m.Weight > 0 {
 		return m.Weight
@@ -82,7 +87,7 @@
 	return 1
 }
 
-// Fleet is the weight of the machines in service, or of the proxies.
+// Fleet returns the total weight of the machines in service, or of the proxies.
 func (v View) Fleet(proxies bool) (sum float64) {
 	for _, m := range v.Machines {
 		if m.Ready && (m.Proxy != "") == proxies {
@@ -92,7 +97,7 @@
 	return sum
 }
 
-// count is how many machines, or proxies, are known.
+// count returns the number of known machines, or proxies.
 func (v View) count(proxies bool) (n int) {
 	for _, m := range v.Machines {
 		if (m.Proxy != "") == proxies {
@@ -102,9 +107,10 @@
 	return n
 }
 
-// Next is what a leader proposes next, Kind Nothing if there is nothing to do. Sick machines go first and
-// those with hot keys last, zones take turns; what came first in its order breaks ties, so that the same
-// facts give the same choice.
+// Next returns the entry that the leader should propose next, with Kind NoOp if there is none.
+// Machines that proxies avoid go first and those with hot keys last; zones are served in
+// round-robin order. Ties are broken by the position in the order, so that the same facts give the
+// same choice.
 func (s *State) Next(v View) Command {
 	for _, w := range s.Works {
 		since := v.Now - v.Since[w.Machine.ID]
@@ -124,7 +130,8 @@
 			if s.FirstHolding(w, expired) == "" {
 				return Command{Kind: SetFree, Machine: w.Machine.ID, Index: w.Granted, Expired: expired}
 			}
-			if f := s.assess(w, v, false); v.ShedFraction >= shedRevokesGrants || f.Capacity > 0 && f.Capacity < f.InFlight {
+			if f := s.assess(w, v, false); v.ShedFraction >= shedRevokesGrants ||
+				f.Capacity > 0 && f.Capacity < f.InFlight {
 				return Command{Kind: Revoke, Machine: w.Machine.ID, Index: w.Granted, Why: "its room is needed"}
 			}
 		case Free, Out:
@@ -165,7 +172,7 @@
 	return Command{}
 }
 
-// candidates lists the waiting machines, the one that should go first first.
+// candidates lists the waiting machines, in the order in which they should go out.
 func (s *State) candidates(v View) []*Work {
 	var waiting []*Work
 	var zones []string
@@ -177,7 +184,7 @@
 	}
 	slices.Sort(zones)
 	zones = slices.Compact(zones)
-	turn := func(zone string) int { // zones behind the last one come first
+	turn := func(zone string) int { // the zones after the last granted one come first
 		i, _ := slices.BinarySearch(zones, zone)
 		at, found := slices.BinarySearch(zones, s.LastZone)
 		if found {
@@ -200,7 +207,7 @@
 	return waiting
 }
 
-// WaitReason says why a machine does not go on, "" if nothing holds it.
+// WaitReason returns why a machine makes no progress, "" if nothing blocks it.
 func (s *State) WaitReason(w *Work, v View) string {
 	switch w.Step {
 	case Waiting:
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Order is staff's order.
+// Order is a maintenance order: machines that operators want to take out of service, and limits.
 type Order struct {
 	ID            string        `cbor:"1,keyasint"`
 	Machines      []Machine     `cbor:"2,keyasint"`
-	MaxOut        int           `cbor:"3,keyasint"`           // out at once, in all orders together
-	MaxPerZone    int           `cbor:"4,keyasint,omitempty"` // of one zone; 0: as Most
-	MaxPerModel   int           `cbor:"5,keyasint,omitempty"` // of one model; 0: as Most
-	Keep          float64       `cbor:"6,keyasint"`           // part of the fleet's weight that must stay in service
-	Fleet         float64       `cbor:"7,keyasint"`           // the fleet's weight when the order was taken in
-	OutFor        time.Duration `cbor:"8,keyasint,omitempty"` // longer than this out is failed; 0: no bound
-	ConfirmReturn bool          `cbor:"9,keyasint,omitempty"` // done when staff say so, not when it starts anew
+	MaxOut        int           `cbor:"3,keyasint"`           // machines out at once, in all orders together
+	MaxPerZone    int           `cbor:"4,keyasint,omitempty"` // the same in one zone; 0: no limit of its own
+	MaxPerModel   int           `cbor:"5,keyasint,omitempty"` // the same of one model; 0: no limit of its own
+	Keep          float64       `cbor:"6,keyasint"`           // fraction of the weight that must stay, 0..1
+	Fleet         float64       `cbor:"7,keyasint"`           // the fleet's weight when the order was accepted
+	OutFor        time.Duration `cbor:"8,keyasint,omitempty"` // longer than this out is a failure; 0: no limit
+	ConfirmReturn bool          `cbor:"9,keyasint,omitempty"` // an operator reports the return, not a restart
 	Paused        bool          `cbor:"10,keyasint,omitempty"`
 	Ended         bool          `cbor:"11,keyasint,omitempty"` // cancelled: nothing more is granted
-	Margin        float64       `cbor:"12,keyasint,omitempty"` // measured room beyond what is in work that must stay
+	Margin        float64       `cbor:"12,keyasint,omitempty"` // spare capacity, as a fraction of InFlight
 }
 
-// maxMargin bounds an order's margin: more is a slip of the pen.
+// maxMargin is the highest margin that an order may have. A higher one is taken for a typing error.
 const maxMargin = 10.0
 
-// check says what is wrong with an order by itself.
+// check validates an order on its own. The error names the setting.
 func (o *Order) check() error {
 	switch {
 	case o == nil || o.ID == "":
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// submit takes in an order: all of it or nothing.
+// submit adds an order with all of its machines, or nothing.
 func (s *State) submit(o *Order) error {
 	if err := o.check(); err != nil {
 		return err
@@ -92,7 +92,8 @@
 	case c.Kind == Resume:
 		o.Paused = false
 	default:
-		// What is free or out stays marked until staff say that it is back; nobody can have begun on the rest.
+		// Machines that are free or out stay marked until an operator returns them. No work can
+		// have begun on the others.
 		o.Ended = true
 		for _, w := range s.Works {
 			if w.Order == o.ID && w.Step < Free {
@@ -103,11 +104,11 @@
 	return nil
 }
 
-// maxWorks bounds the machines remembered that orders are through with.
+// maxWorks limits the number of Works: above it, prune removes ended ones.
 const maxWorks = 1024
 
-// prune forgets the machines that orders are through with, the oldest first, and orders of which none is
-// left. An order's id is free again then.
+// prune removes the oldest ended works beyond maxWorks, and orders that have no works left, whose
+// ids can then be used again.
 func (s *State) prune() {
 	over := len(s.Works) - maxWorks
 	s.Works = slices.DeleteFunc(s.Works, func(w *Work) bool {
--- a/internal/maintenance/participant.go
+++ b/internal/maintenance/participant.go
@@ -8,32 +8,35 @@
 	"time"
 )
 
-// Participant is a process that may send to machines.
+// Participant is a process that may send requests to machines.
 type Participant struct {
 	Name         string        `cbor:"1,keyasint"`
-	Inc          uint64        `cbor:"2,keyasint"` // its incarnation
-	Addr         string        `cbor:"3,keyasint"` // where it listens to its peers
-	Joined       uint64        `cbor:"4,keyasint"`
-	Acknowledged uint64        `cbor:"5,keyasint,omitempty"` // it knows the state up to this index
-	Gone         bool          `cbor:"6,keyasint,omitempty"` // another process has its address: it is dead
-	Grace        time.Duration `cbor:"7,keyasint,omitempty"` // the longest that a request of it may take
-	ID           uint64        `cbor:"8,keyasint,omitempty"` // as a voter
-	Boot         uint64        `cbor:"9,keyasint,omitempty"` // which start this is of that identity
-	// Resumed: until its first lease it may go on by what its disk knew at Knows; else it sends nothing then
+	Inc          uint64        `cbor:"2,keyasint"`           // incarnation of the process
+	Addr         string        `cbor:"3,keyasint"`           // address at which its peers reach it
+	Joined       uint64        `cbor:"4,keyasint"`           // index at which it joined
+	Acknowledged uint64        `cbor:"5,keyasint,omitempty"` // it has acknowledged the state up to this index
+	Gone         bool          `cbor:"6,keyasint,omitempty"` // another process has its address, so it is dead
+	Grace        time.Duration `cbor:"7,keyasint,omitempty"` // maximum duration of one of its requests
+	ID           uint64        `cbor:"8,keyasint,omitempty"` // its identity as a voter
+	Boot         uint64        `cbor:"9,keyasint,omitempty"` // number of this start of that identity
+	// Resumed: before its first lease it may send, by the state that its disk had at Acknowledged.
+	// Without it, it sends nothing before that lease.
 	Resumed bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Key names a party: a name and an incarnation.
+// Key returns the key of a participant: its name and incarnation.
 func Key(name string, inc uint64) string { return fmt.Sprintf("%s/%x", name, inc) }
 
-// Key names the party.
+// Key returns the participant's key.
 func (p *Participant) Key() string { return Key(p.Name, p.Inc) }
 
-// knows tells whether the party, if it sends at all, knows what was named at an index. One that joined
-// later sends nothing before it was told the state as it is then, unless it goes on by an older one.
+// knows reports whether the participant, if it sends at all, knows the announcements up to an
+// index. One that joined later sends nothing before it has received a newer state, unless it has
+// resumed from an older one.
 func (p *Participant) knows(index uint64) bool { return p.KnownIndex() >= index }
 
-// KnownIndex is the index up to which the party surely knows what was named, if it sends at all.
+// KnownIndex returns the index up to which the participant certainly knows the announcements, if it
+// sends at all.
 func (p *Participant) KnownIndex() uint64 {
 	if p.Resumed {
 		return p.Acknowledged
@@ -41,8 +44,8 @@
 	return max(p.Acknowledged, p.Joined)
 }
 
-// join takes in a party. Guards against two processes of one name being taken for one: only the address,
-// which one process can hold at a time, proves that the earlier one is dead.
+// join adds a participant. Two processes may have the same name: only the same address, which one
+// process can hold at a time, proves that the earlier one is dead.
 func (s *State) join(p *Participant) error {
 	if p == nil || p.Name == "" || p.Inc == 0 {
 		return errors.New("join: no party")
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// drop takes a party out.
+// drop removes a participant.
 func (s *State) drop(p *Participant) {
 	delete(s.Participants, p.Key())
 	for _, w := range s.Works {
@@ -77,7 +80,7 @@
 	}
 }
 
-// forget takes out all parties of a name.
+// forget removes all participants of a name.
 func (s *State) forget(name string) error {
 	found := false
 	for _, p := range s.sorted() {
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// sorted lists the parties by key.
+// sorted lists the participants in the order of their keys.
 func (s *State) sorted() []*Participant {
 	all := make([]*Participant, 0, len(s.Participants))
 	for _, p := range s.Participants {
@@ -102,7 +105,8 @@
 	return all
 }
 
-// FirstUnaware is the first party that has not said that it knows a machine as named, "" if all have.
+// FirstUnaware returns the key of the first participant that may not know that a machine is
+// announced, "" if all know.
 func (s *State) FirstUnaware(w *Work) string {
 	for _, p := range s.sorted() {
 		if w.concerns(p) && !p.knows(w.Announced) {
@@ -112,9 +116,10 @@
 	return ""
 }
 
-// FirstHolding is the first party that may still have something at a machine, "" if there is none: it has not
-// said that it is clear, its lease is not among those that have surely run out, and it joined before the
-// grant (one that joins later knows of it with its first lease, or by what its disk knew before).
+// FirstHolding returns the key of the first participant that may still have requests at a machine,
+// "" if there is none. Such a participant has not reported that it is clear, its lease is not among
+// the expired ones, and it joined before the grant. One that joined later learns of the machine
+// with its first lease, or knew it from its disk.
 func (s *State) FirstHolding(w *Work, expired []string) string {
 	for _, p := range s.sorted() {
 		stopped := slices.Contains(expired, p.Key()) && p.knows(w.Announced)
--- a/internal/maintenance/preconditions.go
+++ b/internal/maintenance/preconditions.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// CanAnnounce says why a machine can't be named now, nil if it can. Guards against a proxy that is cut off with
-// no room left: it gives up all that is named.
+// CanAnnounce returns why a machine can't be announced now, nil if it can. The limit on announced
+// machines leaves capacity to a proxy that is cut off, since it stops sending to all of them.
 func (s *State) CanAnnounce(w *Work, f *Facts) error {
 	o := s.Order(w.Order)
 	if o == nil || f == nil {
@@ -31,7 +31,7 @@
 	return f.checkCapacity(o)
 }
 
-// CanGrant says why a machine can't be granted now, nil if it can.
+// CanGrant returns why a machine can't be granted now, nil if it can.
 func (s *State) CanGrant(w *Work, f *Facts) error {
 	o := s.Order(w.Order)
 	switch {
@@ -45,8 +45,8 @@
 	if w.Announced == 0 {
 		return errors.New("the proxies have not been told yet that it may go out")
 	}
-	// Guards against a proxy that was cut off before it was told that the machine may go out: it would go on
-	// sending there after its lease has run out.
+	// Otherwise a proxy that was cut off before it learned of the announcement would keep sending
+	// to the machine after its lease has expired.
 	if key := s.FirstUnaware(w); key != "" {
 		return fmt.Errorf("proxy %s does not know of the order yet", key)
 	}
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// withinLimits says which order's limits a grant by an order would break, nil if none: every order that has a
-// machine out has its own limits kept, too.
+// withinLimits returns an error that names the first order whose limits a grant would break, nil if
+// there is none. The limits of the granting order apply, and those of every order that has a
+// machine out.
 func (s *State) withinLimits(w *Work, f *Facts, granting *Order) error {
 	all, zone, kind := s.Missing(w.Machine.Zone, w.Machine.Model)
 	for _, o := range s.Orders {
@@ -83,8 +84,8 @@
 			return fmt.Errorf("%d of model %s out already (order %s: most-kind %d)", kind, w.Machine.Model, o.ID,
 				o.MaxPerModel)
 		case f.WeightLeft < o.Keep*o.Fleet:
-			return fmt.Errorf("no room: %.3g of weight %.3g would stay, order %s keeps %.3g", f.WeightLeft, o.Fleet, o.ID,
-				o.Keep*o.Fleet)
+			return fmt.Errorf("no room: %.3g of weight %.3g would stay, order %s keeps %.3g", f.WeightLeft, o.Fleet,
+				o.ID, o.Keep*o.Fleet)
 		}
 		if err := f.checkCapacity(o); err != nil {
 			return err
@@ -93,12 +94,12 @@
 	return nil
 }
 
-// hasMissing tells whether an order has a machine out.
+// hasMissing reports whether an order has a machine out of service.
 func (s *State) hasMissing(o *Order) bool {
 	return slices.ContainsFunc(s.Works, func(w *Work) bool { return w.Order == o.ID && w.Step.missing() })
 }
 
-// voterOut is the first voter's machine that is out, nil if none is.
+// voterOut returns the first machine of a voter that is out of service, nil if there is none.
 func (s *State) voterOut() *Work {
 	for _, w := range s.Works {
 		if w.Voter && w.Step.missing() {
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// checkCapacity says why the measured checkCapacity would not do without a machine, nil if it would, or is not known.
+// checkCapacity returns an error if the measured capacity without the machine is too low for an
+// order's margin. An unknown capacity passes.
 func (f *Facts) checkCapacity(o *Order) error {
 	if f.Capacity > 0 && f.Capacity < (1+o.Margin)*f.InFlight {
 		return fmt.Errorf("no room: the others could hold %.3g requests, %.3g are in work (order %s: margin %.3g)",
--- a/internal/maintenance/spec.go
+++ b/internal/maintenance/spec.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Spec is an order as staff word it: machines by id, zone or model, or all.
+// Spec is an order as operators submit it. It selects machines by id, zone or model, or all of
+// them. See Order for the limits.
 type Spec struct {
 	ID          string        `json:"id" yaml:"id" cbor:"1,keyasint"`
 	Machines    []string      `json:"machines,omitempty" yaml:"machines" cbor:"2,keyasint,omitempty"`
@@ -21,21 +22,25 @@
 	OutFor      time.Duration `json:"out-for,omitempty" yaml:"out-for" cbor:"10,keyasint,omitempty"`
 	Proxies     []string      `json:"proxies,omitempty" yaml:"proxies" cbor:"12,keyasint,omitempty"`
 	AllProxies  bool          `json:"all-proxies,omitempty" yaml:"all-proxies" cbor:"13,keyasint,omitempty"`
-	// Done is restart or said: what tells that a machine is back
+	// Done is what marks a machine as back: "restart" (also if empty), or "said" for an operator's
+	// call.
 	Done   string  `json:"done,omitempty" yaml:"done" cbor:"11,keyasint,omitempty"`
 	Margin float64 `json:"margin,omitempty" yaml:"margin" cbor:"14,keyasint,omitempty"` // 0: usualMargin
 }
 
-// defaultMargin is the measured room that stays beyond what is in work: bursts of half as much again are usual.
+// defaultMargin is the capacity that must stay beyond the requests in flight, as a fraction of
+// them: bursts of 50 % are usual.
 const defaultMargin = 0.5
 
-// maxMachines bounds the machines of one order.
+// maxMachines is the maximum number of machines in one order.
 const maxMachines = 512
 
-// Resolve makes an order of what staff want, by the machines that the leader knows. An error names the key.
+// Resolve converts a spec into an order over the machines that the leader knows. Its errors name
+// the spec's key.
 func (sp Spec) Resolve(v View) (*Order, error) {
-	o := &Order{ID: sp.ID, MaxOut: sp.MaxOut, MaxPerZone: sp.MaxPerZone, MaxPerModel: sp.MaxPerModel, Keep: sp.Keep,
-		Fleet: v.Fleet(sp.AllProxies || len(sp.Proxies) > 0), OutFor: sp.OutFor, ConfirmReturn: sp.Done == "said"}
+	o := &Order{ID: sp.ID, MaxOut: sp.MaxOut, MaxPerZone: sp.MaxPerZone, MaxPerModel: sp.MaxPerModel,
+		Keep: sp.Keep, Fleet: v.Fleet(sp.AllProxies || len(sp.Proxies) > 0), OutFor: sp.OutFor,
+		ConfirmReturn: sp.Done == "said"}
 	if v.Level >= LevelResume {
 		o.Margin = cmp.Or(sp.Margin, defaultMargin)
 	}
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -5,38 +5,41 @@
 	"slices"
 )
 
-// Step is where a machine stands in its order.
+// Step is the state of a machine in its order. Its values are encoded: their order must not change.
 type Step uint8
 
-// The steps. From Granted to Out nothing new is sent to the machine; Returning machines count as missing
-// until they are done.
+// The steps. From Granted to Out the machine gets no new requests. A Returning machine counts as
+// out of service until it is Done.
 const (
 	Waiting   Step = iota
-	Granted        // all who hear of it stop sending there
-	Draining       // the first proxy has said that it has stopped and has nothing there
-	Free           // nobody has anything there: it may be switched off
-	Out            // staff have said that they work on it
-	Returning      // it takes requests again, as a cold one where it has started anew
+	Granted        // participants that learn of it stop sending new requests there
+	Draining       // the first participant has reported that it has no requests there
+	Free           // no participant has requests there: it may be switched off
+	Out            // an operator has reported work on it
+	Returning      // it gets requests again, in slow start if it has restarted
 	Done
-	Failed // it was out for longer than the order allows, or staff gave it up: it stays marked
+	Failed // it was out for longer than the order allows, or an operator gave it up: it stays marked
 	Cancelled
 )
 
 var stepNames = [...]string{"waiting", "granted", "draining", "free", "out", "returning", "done", "failed",
 	"cancelled"}
 
+// String returns the step's name, as operators see it.
 func (s Step) String() string { return stepNames[min(int(s), len(stepNames)-1)] }
 
-// Marked tells whether nothing new may be sent to a machine in this step.
+// Marked reports whether a machine in this step must get no new requests.
 func (s Step) Marked() bool { return s >= Granted && s <= Out || s == Failed }
 
-// missing tells whether a machine in this step is missing to the fleet.
+// missing reports whether a machine in this step is out of service.
 func (s Step) missing() bool { return s.Marked() || s == Returning }
 
-// Ended tells whether the order is through with a machine. A failed one is not: it stays named.
+// Ended reports whether the order has finished with a machine. It has not with a failed one, which
+// stays announced.
 func (s Step) Ended() bool { return s == Done || s == Cancelled }
 
-// transitions says from where each entry leads where. Free and Grant have guards of their own besides.
+// transitions lists the steps from which each kind of entry is allowed, and the step to which it
+// leads. Return, SetFree, Revoke and Grant have further preconditions in step.
 var transitions = map[Kind]struct {
 	from []Step
 	to   Step
@@ -50,7 +53,7 @@
 	Revoke:  {[]Step{Granted, Draining}, Waiting},
 }
 
-// step takes an entry on one machine.
+// step applies an entry that concerns one machine.
 func (s *State) step(w *Work, c Command) error {
 	if c.Kind == Announce {
 		if err := s.CanAnnounce(w, c.Facts); err != nil {
@@ -91,7 +94,7 @@
 	return nil
 }
 
-// setStep takes a step.
+// setStep moves a machine to a step and numbers the step.
 func (s *State) setStep(w *Work, step Step, why string) {
 	s.Steps++
 	w.Step, w.Number, w.Why = step, s.Steps, why
