--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -41,8 +41,8 @@
 	d.Close()
 	d = open()
 	if n := len(d.Saved.Entries); d.ID != id || d.Boot != 2 || n != 34 || d.Saved.Entries[0].GetIndex() != 5 ||
-		d.Saved.Hard.GetVote() != 7 || d.Fresh != "" {
-		t.Errorf("identity %x, start %d, %d entries, fresh %q", d.ID, d.Boot, n, d.Fresh)
+		d.Saved.Hard.GetVote() != 7 || d.ResetReason != "" {
+		t.Errorf("identity %x, start %d, %d entries, fresh %q", d.ID, d.Boot, n, d.ResetReason)
 	}
 	d.Close()
 	path := filepath.Join(dir, diskFile)
@@ -65,7 +65,7 @@
 	if err := os.WriteFile(path, make([]byte, len(whole)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if d := open(); d.ID == id || d.Fresh == "" {
+	if d := open(); d.ID == id || d.ResetReason == "" {
 		t.Error("a file of zeros is taken")
 	} else {
 		d.Close()
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	if err := cores[1].Found(nil); err != nil {
+	if err := cores[1].Bootstrap(nil); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 * electionTicks {
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -22,7 +22,7 @@
 	electionTicks  = 10
 	heartbeatTicks = 1
 	maxMessage     = 256 << 10 // bytes of entries in one message
-	maxOpen        = 1 << 20   // bytes of entries that are not agreed yet
+	maxUncommitted        = 1 << 20   // bytes of entries that are not agreed yet
 	maxInflight    = 64        // messages to one voter that it has not confirmed
 	keepEntries    = 64        // left in the log behind a snapshot, for voters that are a little behind
 	snapshotEvery  = 256       // entries
@@ -114,17 +114,17 @@
 		return nil, nil, fmt.Errorf("%d entries agreed, but the log ends at %d", saved.Hard.GetCommit(), last)
 	}
 	c.raw, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
-		Storage: c.store, Applied: c.applied, MaxSizePerMsg: maxMessage, MaxUncommittedEntriesSize: maxOpen,
+		Storage: c.store, Applied: c.applied, MaxSizePerMsg: maxMessage, MaxUncommittedEntriesSize: maxUncommitted,
 		MaxInflightMsgs: maxInflight, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
-		ReadOnlyOption: raft.ReadOnlySafe, Logger: quiet{}, DisableProposalForwarding: true})
+		ReadOnlyOption: raft.ReadOnlySafe, Logger: discardLogger{}, DisableProposalForwarding: true})
 	if err != nil {
 		return nil, nil, err
 	}
 	return c, state, nil
 }
 
-// Found begins a log with this one as its only voter. The context names it.
-func (c *Core) Found(context []byte) error {
+// Bootstrap begins a log with this one as its only voter. The context names it.
+func (c *Core) Bootstrap(context []byte) error {
 	return c.raw.Bootstrap([]raft.Peer{{ID: c.id, Context: context}})
 }
 
@@ -171,8 +171,8 @@
 // Confirm asks a majority whether this one still leads; a Read with the token follows, or never.
 func (c *Core) Confirm(token uint64) { c.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, token)) }
 
-// Yield gives the lead to another voter that is up to date, if it can be had.
-func (c *Core) Yield() {
+// TransferLeadership gives the lead to another voter that is up to date, if it can be had.
+func (c *Core) TransferLeadership() {
 	var to, best uint64
 	c.raw.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) {
 		if id != c.id && !pr.IsLearner && pr.RecentActive && pr.Match >= best {
@@ -295,7 +295,7 @@
 		out.Reads = append(out.Reads, Read{binary.BigEndian.Uint64(r.RequestCtx), r.Index})
 	}
 	for _, e := range rd.CommittedEntries {
-		entry, err := c.agreed(e)
+		entry, err := c.committed(e)
 		if err != nil {
 			return nil, err
 		}
@@ -310,7 +310,7 @@
 	return out, nil
 }
 
-func (c *Core) agreed(e *pb.Entry) (Entry, error) {
+func (c *Core) committed(e *pb.Entry) (Entry, error) {
 	c.applied = e.GetIndex()
 	c.changed = c.changed || e.GetType() != pb.EntryType_EntryNormal
 	entry := Entry{Index: e.GetIndex(), Data: e.GetData()}
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -29,8 +29,8 @@
 
 const diskFile = "peers.db"
 
-// lockFor is how long another process that holds the file is waited for.
-const lockFor = 2 * time.Second
+// lockTimeout is how long another process that holds the file is waited for.
+const lockTimeout = 2 * time.Second
 
 // Disk keeps what a proxy must remember between its starts. One process at a time has it open.
 type Disk struct {
@@ -38,9 +38,9 @@
 	path  string
 	ID    uint64 // the identity as a voter; a disk that was lost or damaged gets a new one
 	Boot  uint64 // counts the starts
-	Fresh string // why it begins anew; empty: it goes on
+	ResetReason string // why it begins anew; empty: it goes on
 	Saved Saved
-	Note  []byte // what the council keeps besides
+	Record  []byte // what the council keeps besides
 }
 
 // OpenDisk opens the file in a folder, or begins a new one where there is none. A file that can't be read
@@ -61,7 +61,7 @@
 	if err != nil && errors.Is(err, bbolt.ErrTimeout) {
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
-	if err != nil && passing(err) {
+	if err != nil && isTransient(err) {
 		return nil, fmt.Errorf("%s: %w", path, err) // what it holds is still owed: it is not set aside
 	}
 	if err != nil && fresh == "" {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.path, d.Fresh = path, fresh
+	d.path, d.ResetReason = path, fresh
 	return d, nil
 }
 
@@ -92,7 +92,7 @@
 			_ = db.Close()
 		}
 	}()
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockFor, FreelistType: bbolt.FreelistMapType})
+	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		return nil, err
 	}
@@ -119,14 +119,14 @@
 		if err != nil {
 			return err
 		}
-		if d.ID = number(meta.Get(keyID)); d.ID == 0 {
+		if d.ID = decodeUint64(meta.Get(keyID)); d.ID == 0 {
 			d.ID = rand.Uint64()>>1 + 1 // the highest ones are the library's
 		}
-		d.Boot = number(meta.Get(keyBoot)) + 1
-		if err := errors.Join(meta.Put(keyID, bytesOf(d.ID)), meta.Put(keyBoot, bytesOf(d.Boot))); err != nil {
+		d.Boot = decodeUint64(meta.Get(keyBoot)) + 1
+		if err := errors.Join(meta.Put(keyID, encodeUint64(d.ID)), meta.Put(keyBoot, encodeUint64(d.Boot))); err != nil {
 			return err
 		}
-		d.Note = slices.Clone(meta.Get(keyNote))
+		d.Record = slices.Clone(meta.Get(keyNote))
 		return d.load(meta, entries)
 	})
 	return d, err
@@ -151,8 +151,8 @@
 		if err := proto.Unmarshal(v, e); err != nil {
 			return err
 		}
-		if e.GetIndex() != number(k) {
-			return fmt.Errorf("entry %d stands at %d", e.GetIndex(), number(k))
+		if e.GetIndex() != decodeUint64(k) {
+			return fmt.Errorf("entry %d stands at %d", e.GetIndex(), decodeUint64(k))
 		}
 		d.Saved.Entries = append(d.Saved.Entries, e)
 		return nil
@@ -187,7 +187,7 @@
 			}
 		}
 		for _, e := range w.Entries {
-			if err := put(entries, bytesOf(e.GetIndex()), e); err != nil {
+			if err := put(entries, encodeUint64(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
@@ -195,8 +195,8 @@
 	})
 }
 
-// Keep writes what the council keeps besides the log.
-func (d *Disk) Keep(note []byte) error {
+// WriteRecord writes what the council keeps besides the log.
+func (d *Disk) WriteRecord(note []byte) error {
 	if err := rigFull(d.path); err != nil {
 		return err
 	}
@@ -206,21 +206,21 @@
 // Close gives the file up.
 func (d *Disk) Close() error { return d.db.Close() }
 
-// Again closes the file and opens it as it is, after a write that failed.
-func (d *Disk) Again() (*Disk, error) {
+// Reopen closes the file and opens it as it is, after a write that failed.
+func (d *Disk) Reopen() (*Disk, error) {
 	_ = d.db.Close()
 	return ReopenDisk(filepath.Dir(d.path))
 }
 
-// Renew sets the file aside and begins anew, under a new identity.
-func (d *Disk) Renew(why string) (*Disk, error) {
+// Reset sets the file aside and begins anew, under a new identity.
+func (d *Disk) Reset(why string) (*Disk, error) {
 	_ = d.db.Close()
 	if err := os.Rename(d.path, fmt.Sprintf("%s.retired-%d", d.path, time.Now().UnixNano())); err != nil {
 		return nil, err
 	}
 	n, err := OpenDisk(filepath.Dir(d.path))
 	if err == nil {
-		n.Fresh = why
+		n.ResetReason = why
 	}
 	return n, err
 }
@@ -236,7 +236,7 @@
 // remove takes out the entries from one index to another.
 func remove(b *bbolt.Bucket, from, to uint64) error {
 	c := b.Cursor()
-	for k, _ := c.Seek(bytesOf(from)); k != nil && number(k) <= to; k, _ = c.Seek(bytesOf(from)) {
+	for k, _ := c.Seek(encodeUint64(from)); k != nil && decodeUint64(k) <= to; k, _ = c.Seek(encodeUint64(from)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
@@ -244,11 +244,11 @@
 	return nil
 }
 
-func number(b []byte) uint64 {
+func decodeUint64(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-func bytesOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
--- a/internal/consensus/quiet.go
+++ b/internal/consensus/quiet.go
@@ -8,23 +8,23 @@
 
 type progress = tracker.Progress
 
-// quiet drops what the library logs: what operators need to know, the council says. A state that can't be
+// discardLogger drops what the library logs: what operators need to know, the council says. A state that can't be
 // is a panic; whoever owns the Core gives it up then.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) {
+func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
--- a/internal/consensus/recover.go
+++ b/internal/consensus/recover.go
@@ -12,8 +12,8 @@
 	"lilacglade/internal/transient"
 )
 
-// passing tells whether a file could not be used for a reason that may pass.
-func passing(err error) bool { return transient.Writing(err) || errors.Is(err, bbolt.ErrTimeout) }
+// isTransient tells whether a file could not be used for a reason that may pass.
+func isTransient(err error) bool { return transient.Writing(err) || errors.Is(err, bbolt.ErrTimeout) }
 
 // ReopenDisk opens the file in a folder after a write or sync of it has failed. The kernel may have dropped
 // what it could not write, and take what it still shows for written: so all of it is written anew, beside,
@@ -34,7 +34,7 @@
 	}
 	fresh := path + ".rewritten"
 	if err := copyDisk(path, fresh); err != nil {
-		if passing(err) {
+		if isTransient(err) {
 			return err
 		}
 		if !errors.Is(err, os.ErrNotExist) {
@@ -58,7 +58,7 @@
 			err = fmt.Errorf("damaged: %v", r)
 		}
 	}()
-	db, err := bbolt.Open(from, 0o600, &bbolt.Options{Timeout: lockFor, ReadOnly: true})
+	db, err := bbolt.Open(from, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/bootstrap.go
+++ b/internal/coordination/bootstrap.go
@@ -42,7 +42,7 @@
 	c.adoptCluster(c.rng.Uint64() | 1)
 	self := Voter{c.cfg.ID, c.cfg.Name, c.cfg.Addr}
 	c.replica.Voters[self.ID] = self
-	if err := c.core.Found(maintenance.Encode(voterChange{c.cluster, []Voter{self}})); err != nil {
+	if err := c.core.Bootstrap(maintenance.Encode(voterChange{c.cluster, []Voter{self}})); err != nil {
 		c.emit(Log{"founding: " + err.Error()})
 		return
 	}
--- a/internal/coordination/participant.go
+++ b/internal/coordination/participant.go
@@ -269,7 +269,7 @@
 	p := &c.participant
 	p.leaving, p.nextRenewal, c.resumeRecord = true, 0, nil
 	if c.core != nil && c.core.Leads() {
-		c.core.Yield()
+		c.core.TransferLeadership()
 	}
 	if !c.recordWritten && p.level >= maintenance.LevelResume {
 		p.left = true // the others wait for the expiry of its lease
--- a/internal/coordination/voters.go
+++ b/internal/coordination/voters.go
@@ -16,7 +16,7 @@
 // at most one vote for each proxy.
 func (c *Coordinator) manageVoters() {
 	if w := c.replica.Maintenance.Active(maintenance.ProxyID(c.cfg.Name)); w != nil && w.Step.Marked() {
-		c.core.Yield() // a leader transfers its leadership before its own machine goes out
+		c.core.TransferLeadership() // a leader transfers its leadership before its own machine goes out
 	}
 	if len(c.leadership.waiters) > 0 {
 		c.confirmLeadership()
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -100,7 +100,7 @@
 	n.council, err = coordination.New(coordination.Config{Name: o.Name, Incarnation: rand.Uint64() | 1,
 		Addr: cfg.Advertise, InitialVoters: cfg.Founders, Peers: names, Grace: o.Grace, Seed: o.Seed,
 		ReplaceAfter: cfg.ReplaceAfter, WarmAfter: o.WarmAfter, Level: rigLevel(),
-		AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot, Saved: disk.Saved, Note: disk.Note})
+		AloneAfter: cfg.AloneAfter, ID: disk.ID, Boot: disk.Boot, Saved: disk.Saved, Note: disk.Record})
 	if errors.Is(err, coordination.ErrProgramTooOld) {
 		_, _ = disk.Close(), ln.Close()
 		return nil, fmt.Errorf("peers: dir: %w", err)
@@ -112,8 +112,8 @@
 			return nil, fmt.Errorf("peers: dir: %w", err)
 		}
 	}
-	if disk.Fresh != "" {
-		log.Printf("peers: a new identity, since %s", disk.Fresh)
+	if disk.ResetReason != "" {
+		log.Printf("peers: a new identity, since %s", disk.ResetReason)
 	}
 	n.ended.Add(2)
 	go n.accept()
@@ -191,7 +191,7 @@
 }
 
 func back(d *consensus.Disk) coordination.DiskRestored {
-	return coordination.DiskRestored{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Note}
+	return coordination.DiskRestored{ID: d.ID, Boot: d.Boot, Saved: d.Saved, Note: d.Record}
 }
 
 // renew sets the disk aside and goes on under a new identity.
@@ -200,7 +200,7 @@
 		return
 	}
 	log.Printf("peers: a new identity, since %s", why)
-	disk, err := n.disk.Renew(why)
+	disk, err := n.disk.Reset(why)
 	if n.disk = disk; err != nil {
 		n.disk = nil
 		log.Printf("peers: the disk: %v", err)
@@ -221,7 +221,7 @@
 		if n.disk == nil {
 			return nil
 		}
-		return n.disk.Keep(e.Note)
+		return n.disk.WriteRecord(e.Note)
 	case coordination.Send:
 		n.send(e)
 	case coordination.Restrictions:
