--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -1,7 +1,6 @@
-// Package consensus is a voter's part in the log that the proxies agree on: the pure core of
-// go.etcd.io/raft/v3 with what it needs round it, and the disk that keeps its votes. Core has no clock,
-// sockets or files: it takes ticks and messages, and says what to write, then what to send, then what was
-// agreed.
+// Package consensus is one voter of the proxies' replicated log: a deterministic wrapper of
+// go.etcd.io/raft/v3, and the disk that keeps votes and entries. Core uses no clock, sockets or
+// files: it takes ticks and messages, and returns what to write, then to send, then to apply.
 package consensus
 
 import (
@@ -16,34 +15,34 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ticks of an election: a follower that hears nothing for so many asks for votes, a leader that hears no
-// majority for so many steps down.
+// Settings of raft. A follower that hears from no leader for electionTicks starts an election, and
+// a leader that hears from no majority for as long steps down.
 const (
 	electionTicks  = 10
 	heartbeatTicks = 1
 	maxMessage     = 256 << 10 // bytes of entries in one message
-	maxUncommitted        = 1 << 20   // bytes of entries that are not agreed yet
-	maxInflight    = 64        // messages to one voter that it has not confirmed
-	keepEntries    = 64        // left in the log behind a snapshot, for voters that are a little behind
+	maxUncommitted = 1 << 20   // bytes of uncommitted entries
+	maxInflight    = 64        // unconfirmed messages to one voter
+	keepEntries    = 64        // kept before a snapshot, for voters that lag slightly
 	snapshotEvery  = 256       // entries
 )
 
-// Saved is what a disk holds of a voter.
+// Saved is the stored state of a voter.
 type Saved struct {
 	Hard    *pb.HardState
 	Snap    *pb.Snapshot
-	Entries []*pb.Entry // behind the snapshot, in order
+	Entries []*pb.Entry // in order
 }
 
-// Write is what must be on the disk, synced, before anything that comes after it in Out is done.
+// Write must be synced to the disk before the later fields of Out are handled.
 type Write struct {
 	Hard    *pb.HardState // nil: as before
 	Snap    *pb.Snapshot  // nil: as before
-	Entries []*pb.Entry   // those from the first one's index on replace what there was
-	First   uint64        // entries before it are not needed any more; 0: as before
+	Entries []*pb.Entry   // they replace all entries from the first one's index on
+	First   uint64        // entries before it can be removed; 0: none
 }
 
-// Entry is one that was agreed. Conf is the context of a change of the voters, with their ids behind it.
+// Entry is a committed entry. Conf is the context of a membership change, Voters the ids after it.
 type Entry struct {
 	Index  uint64
 	Data   []byte
@@ -52,21 +51,21 @@
 	Voters []uint64
 }
 
-// Out is what a Core wants done, in the order of its fields.
+// Out lists the effects that the caller must carry out, in the order of its fields.
 type Out struct {
 	Write    *Write
 	Messages []*pb.Message
-	Install  []byte // the state that replaces all there was; nil: none
+	Install  []byte // a snapshot that replaces the state; nil: none
 	At       uint64 // its index
 	Entries  []Entry
 	Reads    []Read
 }
 
-// Read says that a majority has confirmed this leader's lead after Confirm(token) was called: whoever has
-// applied the entries up to Index may answer.
+// Read reports that a majority has confirmed this leader after Confirm(Token): a read is
+// linearizable once the entries up to Index are applied.
 type Read struct{ Token, Index uint64 }
 
-// Core is one voter, or one that may become one. One goroutine owns it.
+// Core is a voter, or a process that may become one. It is not safe for concurrent use.
 type Core struct {
 	id      uint64
 	store   *raft.MemoryStorage
@@ -77,7 +76,7 @@
 	changed bool // the voters have, since the snapshot at snapAt
 }
 
-// Open goes on from what a disk holds. State is the snapshot's, nil if there is none.
+// Open resumes from a stored state. The returned state is the snapshot's, nil if there is none.
 func Open(id uint64, saved Saved) (c *Core, state []byte, err error) {
 	c = &Core{id: id, store: raft.NewMemoryStorage(), conf: &pb.ConfState{}}
 	if saved.Snap != nil && !raft.IsEmptySnap(saved.Snap) {
@@ -94,7 +93,7 @@
 			return nil, nil, err
 		}
 	}
-	for i, e := range saved.Entries { // guards against a log with holes
+	for i, e := range saved.Entries { // reject a log with gaps
 		if want := saved.Entries[0].GetIndex() + uint64(i); e.GetIndex() != want {
 			return nil, nil, fmt.Errorf("entry %d where %d belongs", e.GetIndex(), want)
 		}
@@ -123,12 +122,12 @@
 	return c, state, nil
 }
 
-// Bootstrap begins a log with this one as its only voter. The context names it.
+// Bootstrap starts a new log with this process as its only voter, described by the context.
 func (c *Core) Bootstrap(context []byte) error {
 	return c.raw.Bootstrap([]raft.Peer{{ID: c.id, Context: context}})
 }
 
-// Tick passes one unit of time. Who is the only voter need not wait for others to be silent.
+// Tick advances the time by one tick. An only voter starts an election at once.
 func (c *Core) Tick() {
 	if v := c.conf.GetVoters(); len(v) == 1 && v[0] == c.id && c.Leader() == 0 {
 		_ = c.raw.Campaign() // else it begins with the next tick
@@ -136,7 +135,7 @@
 	c.raw.Tick()
 }
 
-// Step takes another voter's message. What makes no sense is an error and changes nothing.
+// Step handles another voter's message. An invalid message returns an error and changes nothing.
 func (c *Core) Step(raw []byte) (err error) {
 	m := new(pb.Message)
 	if err := proto.Unmarshal(raw, m); err != nil {
@@ -151,10 +150,10 @@
 	return c.raw.Step(m)
 }
 
-// Propose wants an entry agreed on. It is an error where this one doesn't lead; no error says nothing yet.
+// Propose proposes an entry. It fails unless this process leads; success does not mean committed.
 func (c *Core) Propose(data []byte) error { return c.raw.Propose(data) }
 
-// Change wants the voters changed: some added, some removed, in one step.
+// Change proposes to add and remove voters in one step.
 func (c *Core) Change(add, remove []uint64, context []byte) error {
 	cc := &pb.ConfChangeV2{Context: context}
 	for _, id := range add {
@@ -168,10 +167,10 @@
 	return c.raw.ProposeConfChange(cc)
 }
 
-// Confirm asks a majority whether this one still leads; a Read with the token follows, or never.
+// Confirm asks a majority to confirm this leader. A Read with the token follows on success.
 func (c *Core) Confirm(token uint64) { c.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, token)) }
 
-// TransferLeadership gives the lead to another voter that is up to date, if it can be had.
+// TransferLeadership transfers the leadership to the most up-to-date active voter, if there is one.
 func (c *Core) TransferLeadership() {
 	var to, best uint64
 	c.raw.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) {
@@ -184,16 +183,16 @@
 	}
 }
 
-// Leads tells whether this one leads, as far as it knows, and Term in which term.
+// Leads reports whether this process believes that it leads.
 func (c *Core) Leads() bool { return c.raw.BasicStatus().RaftState == raft.StateLeader }
 
-// Term is the current term.
+// Term returns the current term.
 func (c *Core) Term() uint64 { return c.raw.BasicStatus().GetTerm() }
 
-// Leader is the voter that leads, as far as is known; 0: none.
+// Leader returns the known leader, 0 if there is none.
 func (c *Core) Leader() uint64 { return c.raw.BasicStatus().Lead }
 
-// Active lists the voters that the leader has heard lately, itself included.
+// Active lists the voters that the leader has heard from recently, and itself.
 func (c *Core) Active() (ids []uint64) {
 	c.raw.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) {
 		if id == c.id || pr.RecentActive {
@@ -203,7 +202,7 @@
 	return ids
 }
 
-// Last is the index of the last entry that is in this one's log.
+// Last returns the index of the last entry in the local log.
 func (c *Core) Last() uint64 {
 	last, err := c.store.LastIndex()
 	if err != nil {
@@ -212,7 +211,7 @@
 	return last
 }
 
-// Match is the last entry that a voter has confirmed to this leader; 0 where this one doesn't lead.
+// Match returns the last index that a voter has confirmed to this leader, 0 if it doesn't lead.
 func (c *Core) Match(id uint64) (match uint64) {
 	if !c.Leads() {
 		return 0
@@ -225,35 +224,35 @@
 	return match
 }
 
-// Voters lists the voters, of both sides while they are being changed.
+// Voters lists the voters; during a membership change, the old and the new ones.
 func (c *Core) Voters() []uint64 {
 	all := slices.Concat(c.conf.GetVoters(), c.conf.GetVotersOutgoing())
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// Changing tells whether the voters are being changed.
+// Changing reports whether a membership change is in progress.
 func (c *Core) Changing() bool { return len(c.conf.GetVotersOutgoing()) > 0 }
 
-// ID is this one's number among the voters, whether it votes or not.
+// ID returns the voter id of this process, whether it votes or not.
 func (c *Core) ID() uint64 { return c.id }
 
-// Applied is the index up to which entries were given out.
+// Applied returns the index of the last entry that Next returned.
 func (c *Core) Applied() uint64 { return c.applied }
 
-// Unreachable says that what was sent to a voter was lost.
+// Unreachable reports that a message to a voter was lost.
 func (c *Core) Unreachable(id uint64) { c.raw.ReportUnreachable(id) }
 
-// Next is what is to be done now, nil if nothing is. State words the state as it is after the entries that
-// were given out so far; it is called before those of this Out are.
+// Next returns the pending effects, nil if there are none. state encodes the state after the entries
+// that were returned so far, without those of this Out.
 func (c *Core) Next(state func() []byte) (*Out, error) {
 	if !c.raw.HasReady() {
 		return nil, nil
 	}
 	out := &Out{}
 	var w Write
-	// Guards against a snapshot of before a voter came: that one ignores what doesn't name it, has no entries
-	// from before the snapshot, and is sent the same for good.
+	// A new voter ignores a snapshot that doesn't name it. Without a newer snapshot, the leader would
+	// send it the old one forever.
 	stale := c.changed && c.snapAt > 0 && c.applied > c.snapAt
 	if stale || c.applied >= c.snapAt+snapshotEvery {
 		snap, err := c.store.CreateSnapshot(c.applied, c.conf, state())
@@ -303,13 +302,14 @@
 	}
 	c.raw.Advance(rd)
 	for _, m := range out.Messages {
-		if m.GetType() == pb.MessageType_MsgSnap { // one that is lost is found missing by the next heartbeat
+		if m.GetType() == pb.MessageType_MsgSnap { // the next heartbeat detects a lost one
 			c.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 	return out, nil
 }
 
+// committed converts a committed entry and applies membership changes.
 func (c *Core) committed(e *pb.Entry) (Entry, error) {
 	c.applied = e.GetIndex()
 	c.changed = c.changed || e.GetType() != pb.EntryType_EntryNormal
@@ -334,11 +334,11 @@
 	return entry, nil
 }
 
-// Marshal words a message for another voter.
+// Marshal encodes a message for another voter.
 func Marshal(m *pb.Message) []byte {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // it holds nothing that can't be worded
+		panic(err) // every message can be encoded
 	}
 	return raw
 }
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -34,13 +34,13 @@
 
 // Disk keeps what a proxy must remember between its starts. One process at a time has it open.
 type Disk struct {
-	db    *bbolt.DB
-	path  string
-	ID    uint64 // the identity as a voter; a disk that was lost or damaged gets a new one
-	Boot  uint64 // counts the starts
+	db          *bbolt.DB
+	path        string
+	ID          uint64 // the identity as a voter; a disk that was lost or damaged gets a new one
+	Boot        uint64 // counts the starts
 	ResetReason string // why it begins anew; empty: it goes on
-	Saved Saved
-	Record  []byte // what the council keeps besides
+	Saved       Saved
+	Record      []byte // what the council keeps besides
 }
 
 // OpenDisk opens the file in a folder, or begins a new one where there is none. A file that can't be read
