--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Names in the file.
+// Bucket and key names of the file.
 var (
 	bucketLog  = []byte("log")
 	bucketMeta = []byte("meta")
@@ -29,22 +29,22 @@
 
 const diskFile = "peers.db"
 
-// lockTimeout is how long another process that holds the file is waited for.
+// lockTimeout is how long opening waits for another process that holds the file.
 const lockTimeout = 2 * time.Second
 
-// Disk keeps what a proxy must remember between its starts. One process at a time has it open.
+// Disk is the durable state of a proxy. Only one process at a time can have it open.
 type Disk struct {
 	db          *bbolt.DB
 	path        string
-	ID          uint64 // the identity as a voter; a disk that was lost or damaged gets a new one
-	Boot        uint64 // counts the starts
-	ResetReason string // why it begins anew; empty: it goes on
+	ID          uint64 // voter identity; a lost or damaged disk gets a new one
+	Boot        uint64 // number of starts
+	ResetReason string // why the identity is new; empty: it is not
 	Saved       Saved
-	Record      []byte // what the council keeps besides
+	Record      []byte // durable record of the coordination group
 }
 
-// OpenDisk opens the file in a folder, or begins a new one where there is none. A file that can't be read
-// through is set aside: its identity must not vote again.
+// OpenDisk opens the file in a folder, or creates it. A damaged file is renamed and replaced, since its
+// identity must not vote again.
 func OpenDisk(dir string) (*Disk, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil && isTransient(err) {
-		return nil, fmt.Errorf("%s: %w", path, err) // what it holds is still owed: it is not set aside
+		return nil, fmt.Errorf("%s: %w", path, err) // a transient failure: the content is still valid
 	}
 	if err != nil && fresh == "" {
 		fresh = err.Error()
@@ -79,10 +79,10 @@
 	return d, nil
 }
 
-// readDisk opens a file and reads all of it.
+// readDisk opens a file, checks it and reads all of it.
 func readDisk(path string) (d *Disk, err error) {
 	var db *bbolt.DB
-	// Guards against a file that was cut short: the library reads it by the memory map, where that is a fault.
+	// A read of a truncated file through the memory map raises a fault, which becomes a panic here.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -120,7 +120,7 @@
 			return err
 		}
 		if d.ID = decodeUint64(meta.Get(keyID)); d.ID == 0 {
-			d.ID = rand.Uint64()>>1 + 1 // the highest ones are the library's
+			d.ID = rand.Uint64()>>1 + 1 // raft reserves the highest ids
 		}
 		d.Boot = decodeUint64(meta.Get(keyBoot)) + 1
 		if err := errors.Join(meta.Put(keyID, encodeUint64(d.ID)), meta.Put(keyBoot, encodeUint64(d.Boot))); err != nil {
@@ -132,7 +132,7 @@
 	return d, err
 }
 
-// load reads what is saved of the log.
+// load reads the stored log into Saved.
 func (d *Disk) load(meta, entries *bbolt.Bucket) error {
 	if raw := meta.Get(keyHard); raw != nil {
 		d.Saved.Hard = new(pb.HardState)
@@ -159,7 +159,7 @@
 	})
 }
 
-// Write puts a write on the disk; when it returns without an error, it is there for good.
+// Write stores a write. It is durable when Write returns without an error.
 func (d *Disk) Write(w *Write) error {
 	if err := rigFull(d.path); err != nil {
 		return err
@@ -195,7 +195,7 @@
 	})
 }
 
-// WriteRecord writes what the council keeps besides the log.
+// WriteRecord stores the durable record of the coordination group.
 func (d *Disk) WriteRecord(note []byte) error {
 	if err := rigFull(d.path); err != nil {
 		return err
@@ -203,16 +203,16 @@
 	return d.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyNote, note) })
 }
 
-// Close gives the file up.
+// Close closes the file.
 func (d *Disk) Close() error { return d.db.Close() }
 
-// Reopen closes the file and opens it as it is, after a write that failed.
+// Reopen closes the file and opens it again, after a failed write.
 func (d *Disk) Reopen() (*Disk, error) {
 	_ = d.db.Close()
 	return ReopenDisk(filepath.Dir(d.path))
 }
 
-// Reset sets the file aside and begins anew, under a new identity.
+// Reset renames the file and creates a new one with a new identity.
 func (d *Disk) Reset(why string) (*Disk, error) {
 	_ = d.db.Close()
 	if err := os.Rename(d.path, fmt.Sprintf("%s.retired-%d", d.path, time.Now().UnixNano())); err != nil {
@@ -233,7 +233,7 @@
 	return b.Put(key, raw)
 }
 
-// remove takes out the entries from one index to another.
+// remove deletes the entries of an index range, both ends included.
 func remove(b *bbolt.Bucket, from, to uint64) error {
 	c := b.Cursor()
 	for k, _ := c.Seek(encodeUint64(from)); k != nil && decodeUint64(k) <= to; k, _ = c.Seek(encodeUint64(from)) {
--- a/internal/consensus/quiet.go
+++ b/internal/consensus/quiet.go
@@ -8,8 +8,8 @@
 
 type progress = tracker.Progress
 
-// discardLogger drops what the library logs: what operators need to know, the council says. A state that can't be
-// is a panic; whoever owns the Core gives it up then.
+// discardLogger drops what the library logs: what operators need is logged by the coordination package. An
+// impossible state panics; the owner of the Core then discards it.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/consensus/recover.go
+++ b/internal/consensus/recover.go
@@ -12,12 +12,11 @@
 	"lilacglade/internal/transient"
 )
 
-// isTransient tells whether a file could not be used for a reason that may pass.
+// isTransient reports whether a file operation failed for a reason that may pass.
 func isTransient(err error) bool { return transient.Writing(err) || errors.Is(err, bbolt.ErrTimeout) }
 
-// ReopenDisk opens the file in a folder after a write or sync of it has failed. The kernel may have dropped
-// what it could not write, and take what it still shows for written: so all of it is written anew, beside,
-// and is durable before it counts.
+// ReopenDisk opens the file in a folder after a failed write or sync. The kernel may have dropped dirty
+// pages and report them as written, so the whole file is first copied, synced and renamed.
 func ReopenDisk(dir string) (*Disk, error) {
 	path := filepath.Join(dir, diskFile)
 	if err := rewrite(path); err != nil {
@@ -26,8 +25,7 @@
 	return OpenDisk(dir)
 }
 
-// rewrite puts a copy of a file in its place. A file that is not there, or is damaged, is left as it is:
-// OpenDisk says what becomes of it.
+// rewrite replaces a file by a synced copy. A missing or damaged file is left to OpenDisk.
 func rewrite(path string) (err error) {
 	if err := rigFull(path); err != nil {
 		return err
@@ -48,7 +46,7 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// copyDisk copies a file that the library can read through, and syncs the copy.
+// copyDisk copies a readable database file and syncs the copy.
 func copyDisk(from, to string) (err error) {
 	if _, err := os.Stat(from); err != nil {
 		return err
--- a/internal/consensus/release.go
+++ b/internal/consensus/release.go
@@ -2,5 +2,5 @@
 
 package consensus
 
-// rigFull tells whether a disk is to be taken for full. Only test builds ever do.
+// rigFull simulates a full disk in test builds (tag rig); here it never does.
 func rigFull(string) error { return nil }
--- a/internal/consensus/rig.go
+++ b/internal/consensus/rig.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// rigFull takes a disk for full while there is a file of its name and ".full".
+// rigFull simulates a full disk while a file of its name with the suffix ".full" exists.
 func rigFull(path string) error {
 	if _, err := os.Stat(path + ".full"); err == nil {
 		return &os.PathError{Op: "write", Path: path, Err: syscall.ENOSPC}
