--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -123,7 +123,8 @@
 			d.ID = rand.Uint64()>>1 + 1 // raft reserves the highest ids
 		}
 		d.Boot = decodeUint64(meta.Get(keyBoot)) + 1
-		if err := errors.Join(meta.Put(keyID, encodeUint64(d.ID)), meta.Put(keyBoot, encodeUint64(d.Boot))); err != nil {
+		if err := errors.Join(meta.Put(keyID, encodeUint64(d.ID)),
+			meta.Put(keyBoot, encodeUint64(d.Boot))); err != nil {
 			return err
 		}
 		d.Record = slices.Clone(meta.Get(keyNote))
@@ -236,7 +237,8 @@
 // remove deletes the entries of an index range, both ends included.
 func remove(b *bbolt.Bucket, from, to uint64) error {
 	c := b.Cursor()
-	for k, _ := c.Seek(encodeUint64(from)); k != nil && decodeUint64(k) <= to; k, _ = c.Seek(encodeUint64(from)) {
+	for k, _ := c.Seek(encodeUint64(from)); k != nil && decodeUint64(k) <= to;
+		k, _ = c.Seek(encodeUint64(from)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
