--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -237,7 +237,8 @@
 // remove deletes the entries of an index range, both ends included.
 func remove(b *bbolt.Bucket, from, to uint64) error {
 	c := b.Cursor()
-	for k, _ := c.Seek(encodeUint64(from)); k != nil && decodeUint64(k) <= to; k, _ = c.Seek(encodeUint64(from)) {
+	for k, _ := c.Seek(encodeUint64(from)); k != nil &&
+		decodeUint64(k) <= to; k, _ = c.Seek(encodeUint64(from)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
