--- a/internal/transport/effects.go
+++ b/internal/transport/effects.go
@@ -27,7 +27,7 @@
 			conn.requestPending.Store(true)
 			if stream, ok := effect.Payload.(*bodyStream); ok && effect.Verdict == reducer.Served {
 				stream.http10 = conn.http10
-				conn.write(p.streamJob(stream, conn, stream.message.BackHead(fieldLoad, stream.length,
+				conn.write(p.streamJob(stream, conn, stream.message.ForwardResponseHead(fieldLoad, stream.length,
 					stream.http10, effect.Last)))
 				return
 			}
@@ -36,7 +36,7 @@
 		}
 	case reducer.CheckClientIdle:
 		if conn := p.clientConns[effect.Conn]; conn != nil {
-			p.inbox.post(quiesceCheck{conn})
+			p.inbox.post(idleCheck{conn})
 		}
 	case reducer.CloseClientWrite:
 		if conn := p.clientConns[effect.Conn]; conn != nil {
@@ -64,7 +64,7 @@
 		}
 	case reducer.StreamResponse:
 		if conn := p.serverConns[effect.Conn]; conn != nil && conn.busy {
-			conn.parser.Enlarge()
+			conn.parser.MarkLarge()
 			if conn.readPending {
 				conn.interruptRead()
 			} else {
@@ -76,16 +76,16 @@
 	case reducer.Watch:
 		p.watch(effect)
 	case reducer.Publish:
-		figures := effect.Payload.(*reducer.Metrics)
-		figures.Sockets = p.observer.figures
-		p.publish(figures)
+		metrics := effect.Payload.(*reducer.Metrics)
+		metrics.Sockets = p.observer.metrics
+		p.publish(metrics)
 	case reducer.ReportFencing:
-		stopped := effect.Payload.(reducer.FencingStatus)
-		p.peers.Stopped(stopped.Index, stopped.Clear, stopped.OwnGrant)
+		status := effect.Payload.(reducer.FencingStatus)
+		p.peers.Stopped(status.Index, status.Clear, status.OwnGrant)
 	case reducer.Log:
 		p.logEffect(effect)
 	case reducer.DrainAcceptQueue:
-		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueEmpty{}) })
+		go p.listener.awaitPending(func() { p.inbox.post(acceptQueueDrained{}) })
 	case reducer.Finish:
 		p.done = true
 	}
@@ -107,12 +107,12 @@
 	timeout := fmt.Sprint(max(1, (effect.At - p.now()).Milliseconds()))
 	if stream, ok := effect.Payload.(*bodyStream); ok {
 		conn.upload = stream
-		job := p.streamJob(stream, conn, stream.message.ForwardHead(fieldTimeout, timeout, stream.length))
+		job := p.streamJob(stream, conn, stream.message.ForwardRequestHead(fieldTimeout, timeout, stream.length))
 		job.tooLate = p.tooLateCheck(effect, written{conn: conn, stream: stream})
 		conn.write(job)
 		return
 	}
-	buffers := effect.Payload.(*http1.Message).Forward(fieldTimeout, timeout)
+	buffers := effect.Payload.(*http1.Message).ForwardRequest(fieldTimeout, timeout)
 	conn.write(writeJob{buffers: buffers, deadline: effect.At, report: true,
 		tooLate: p.tooLateCheck(effect, written{conn: conn})})
 }
--- a/internal/transport/proxy.go
+++ b/internal/transport/proxy.go
@@ -64,7 +64,7 @@
 	clientConns       map[reducer.ConnID]*connection
 	serverConns       map[reducer.ConnID]*connection
 	timer             *time.Timer
-	adminServer       *admin.Door     // nil: no operator interface
+	adminServer       *admin.Server   // nil: no operator interface
 	socketShared      bool            // the listening socket is shared with other processes of this proxy
 	startAccepting    func()          // starts accepting connections; nil once that is done
 	handoverWriter    *handoverWriter // nil: no handover to a next process
@@ -112,13 +112,12 @@
 	p.servers = serverlist.New(p.settings.ZoneNames, p.settings.KindNames, p.epoch())
 	maxClients, maxServers := connectionLimits(node.Limits)
 	var err error
-	p.socketShared = node.Passed != ""
+	p.socketShared = node.PassedSocket != ""
 	p.buffers = newBufferPool(int64(node.Limits.MemoryMB) << 20)
 	cfg := reducer.Config{Settings: p.settings.Settings, Seed: node.Seed,
 		MaxClients: softClientLimit(maxClients), MaxServerConns: maxServers,
-		ServerIdleTimeout: p.settings.KeepAlive / idleTimeoutDivisor,
-		Discovery:         node.Discovery, Decider: options.Decider, Trace: options.Trace,
-		Maintenance:    options.Peers != nil,
+		ServerIdleTimeout: p.settings.KeepAlive / idleTimeoutDivisor, Discovery: node.Discovery,
+		Decider: options.Decider, Trace: options.Trace, Maintenance: options.Peers != nil,
 		PublishMetrics: node.Admin != "" || options.Peers != nil}
 	if p.socketShared || !p.settings.AskForList {
 		cfg.ConfirmTimeout = p.now() + confirmTimeout
@@ -136,7 +135,7 @@
 		}
 	}
 	if node.Admin != "" {
-		p.adminServer = new(admin.Door)
+		p.adminServer = new(admin.Server)
 		if p.peers != nil {
 			p.adminServer.Work = p.peers.Work
 		}
--- a/internal/transport/servers.go
+++ b/internal/transport/servers.go
@@ -33,7 +33,7 @@
 		conn.interruptRead()
 	case conn.parser.Large():
 		p.startDownload(conn)
-	case conn.parser.Open() && conn.parser.Status() == 200 && !conn.responseStarted:
+	case conn.parser.LengthUnknown() && conn.parser.Status() == 200 && !conn.responseStarted:
 		conn.responseStarted = true
 		p.step(reducer.ResponseStarted{Conn: conn.id})
 	}
@@ -63,6 +63,5 @@
 	}
 	conn.busy, conn.streaming = false, true
 	p.step(reducer.ResponseStreaming{Conn: conn.id, Load: event.Load, Payload: &bodyStream{message: message,
-		source: conn,
-		length: body.Known(), buffers: p.buffers, body: body}})
+		source: conn, length: body.Length(), buffers: p.buffers, body: body}})
 }
--- a/internal/transport/watcher.go
+++ b/internal/transport/watcher.go
@@ -118,7 +118,7 @@
 		}
 	}
 	w.inbox.post(discoveryConnected{w})
-	for _, part := range http1.Ask(next.target, w.address) {
+	for _, part := range http1.GetRequest(next.target, w.address) {
 		if _, err := w.conn.Writer().WriteBinary(part); err != nil {
 			return nil, err
 		}
@@ -186,7 +186,7 @@
 	for !body.Done {
 		input, err := w.readMore(deadline)
 		if err != nil {
-			if body.TillClose() && !w.wasReset() {
+			if body.UntilClose() && !w.wasReset() {
 				return message, nil
 			}
 			return nil, err
